--- a/features/harness/reports_play.py
+++ b/features/harness/reports_play.py
@@ -4,9 +4,9 @@
 from collections.abc import Sequence
 from unittest import mock
 
-from harness.direct_world import outside
-from harness.direct_world import quiet_log
-from harness.direct_world import settings_for
+from harness.direct_entry import entry_dependencies
+from harness.direct_entry import null_log
+from harness.direct_entry import settings_for
 from mimosaspur_coordination.limits.partlease import SharerCount
 from mimosaspur_coordination.orderlease import OrderLease
 from mimosaspur_daemon.direct.entrystate import EntryState
@@ -45,7 +45,7 @@
                 WorkAt(target, count, {RANK: count * TOKENS_EACH}, count, {})
                 for target, count in (requests or {}).items()
             ]
-            number = self.entries[entry].add(work)
+            number = self.entries[entry].add_report(work)
             self.sent[entry].append((number, {each.target: each for each in work}))
         elif name == "hear" and self.sent[entry]:
             self.heard[entry] = self.sent[entry].pop(0)
@@ -59,8 +59,8 @@
         changed = [each for key, each in totals.items() if self.told.get(key) != each]
         self.told = totals
         for index, entry in enumerate(self.entries):
-            entry.count(self.heard[index][0])
-            self.views[index].update(entry.others(changed))
+            entry.set_included(self.heard[index][0])
+            self.views[index].update(entry.apply_totals(changed))
             others = [work for at, (_, work) in enumerate(self.heard) if at != index]
             for target, wanted in total_work(others, self.targets).items():
                 found = self.views[index].get(target, Work())
@@ -84,8 +84,10 @@
     """Own a coordinator's members, and count what is encoded for them."""
 
     def __init__(self, entries: int) -> None:
-        log = quiet_log("coordinator")
-        self.state = EntryState(settings_for("coordinator"), outside("coordinator", log=log))
+        log = null_log("coordinator")
+        self.state = EntryState(
+            settings_for("coordinator"), entry_dependencies("coordinator", log=log)
+        )
         clock = SystemClock()
         sharers = SharerCount(window_ms=0, predecessor_ended_ms=0, clock=clock)
         self.members = Members(self.state, sharers)
