--- a/features/direct_answers.feature
+++ b/features/direct_answers.feature
@@ -1,5 +1,5 @@
 Feature: An entry that reaches targets directly gives each caller its own whole answer
-  An entry before scripted targets. The first one has the fault, the second one is sound.
+  Guards against lost, repeated and foreign responses; the first target is faulty, the second one sound.
 
   Scenario Outline: A request meets a faulty target
     Given a direct entry before a target that <fault> and a sound one
--- a/features/direct_moves.feature
+++ b/features/direct_moves.feature
@@ -1,7 +1,6 @@
 Feature: Streams go on elsewhere when their engine is taken away
 
-  # The repeats that are spent guard against arrivals that the retry budget doesn't count: those of a run
-  # that is refused where it was moved, and goes back.
+  # The retry budget must count both attempts of a moved run that is refused and returns to its source.
   Scenario Outline: An engine that will be gone before its streams end, <case>
     Given a direct entry before an engine that streams slowly and a sound one
     And the engines move runs: <answer>
--- a/features/direct_retries.feature
+++ b/features/direct_retries.feature
@@ -1,6 +1,5 @@
 Feature: What fails again and again is tried at a pace that a whole fleet can afford
-  An entry that can't get something done must not ask for it as fast as it is refused: hundreds of
-  entries would take all the calls that the platform's store allows, and fill the logs.
+  Guards against retry storms: hundreds of entries would exceed the store's call limits and fill the logs.
 
   Scenario Outline: An entry's calls to a store whose <calls> <behave>
     Given an entry in virtual time, beside a store whose <calls> <behave>
--- a/features/harness/direct_entry.py
+++ b/features/harness/direct_entry.py
@@ -1,4 +1,4 @@
-"""Run an entry's callers' side in this process, before scripted targets."""
+"""Run an entry's caller server in the test process, with scripted targets."""
 
 import asyncio
 import os
@@ -46,12 +46,12 @@
     "a resumable stream": ("resumable-stream", RouteKind.STREAM, True),
 }
 TIMEOUT_MS = 4_000
-# Entries that share the bound on repeats.
+# Entries that share the retry budget.
 RETRY_SHARERS = 4
 
 
 class UnavailableStore:
-    """Stand for a store that never answers."""
+    """Simulate a store that is unavailable."""
 
     async def list_targets(self) -> TargetListing:
         """Fail."""
@@ -79,28 +79,28 @@
 
 
 class UnresponsiveEngines:
-    """Stand for engines that answer nothing."""
+    """Simulate engines that do not respond."""
 
     async def report(self, target: TargetRecord) -> EngineReport | None:
-        """Give none."""
+        """Return no report."""
         return None
 
     async def order(self, target: TargetRecord, order: EngineOrder) -> OrderOutcome:
-        """Leave the order unanswered."""
+        """Return an unknown outcome."""
         return OrderOutcome.UNKNOWN
 
     async def stop_and_copy(
         self, source: TargetRecord, request: bytes, to: TargetRecord
     ) -> StoppedRun | None:
-        """Move nothing."""
+        """Return no stopped run."""
         return None
 
     async def drop_copy(self, source: TargetRecord, handle: str) -> None:
-        """Have no copies."""
+        """Do nothing."""
 
 
 def settings_for(instance: str, *, peer_port: int = 0, handover_ms: int = 300) -> DirectSettings:
-    """Return settings on loopback, with ports that the system picks."""
+    """Return settings for the loopback address and ephemeral ports."""
     return DirectSettings(
         instance=instance,
         ip="127.0.0.1",
@@ -122,12 +122,12 @@
 
 
 def null_log(instance: str) -> EventLog:
-    """Return a log that nobody reads."""
+    """Return a log that discards its lines."""
     return EventLog(instance, fd=os.open(os.devnull, os.O_WRONLY))
 
 
 def entry_dependencies(instance: str, **ports: object) -> EntryDependencies:
-    """Return ports that reach nothing, but for those given."""
+    """Return dependencies that do not respond, except for the given ones."""
     settings = settings_for(instance)
     base = EntryDependencies(
         clock=SystemClock(),
@@ -142,20 +142,20 @@
 
 
 def model_spec(name: str, **fields: float | tuple[str, ...]) -> ModelSpec:
-    """Return a model of 70 GB that loads in 9 s, 2 s from disk and 1 s from memory."""
+    """Return a 70 GB model that loads in 9 s, in 2 s from disk and in 1 s from memory."""
     model = ModelSpec(name, 70_000.0, load_s=9.0, disk_load_s=2.0, memory_load_s=1.0)
     return replace(model, **fields)  # type: ignore[arg-type]
 
 
 def engine_spec(models: list[ModelSpec], **fields: float) -> EngineSpec:
-    """Return engines with room for three models."""
+    """Return engines with memory for three models."""
     named = {model.name: model for model in models}
     spec = EngineSpec(64, 100_000, 220_000.0, 4, 2.0, 440_000.0, 150_000.0, named)
     return replace(spec, **fields)  # type: ignore[arg-type]
 
 
 def configuration(engine: EngineSpec | None = None) -> Configuration:
-    """Return one route of each kind to one service."""
+    """Return a configuration with one route of each kind to a single service."""
     routes = tuple(
         Route(
             name=name,
@@ -178,7 +178,7 @@
 
 @dataclass(slots=True)
 class ReceivedResponse:
-    """Hold what a caller received."""
+    """Hold the response that a caller received."""
 
     status: int
     body: bytes
@@ -187,7 +187,7 @@
 
 
 class DirectEntry:
-    """Serve callers on a free port, before the given targets."""
+    """Serve callers on a free port with the given targets."""
 
     def __init__(self, *, engine: EngineSpec | None = None) -> None:
         settings = settings_for("entry-0")
@@ -201,7 +201,7 @@
         self.port = 0
 
     async def start(self, *targets: ScriptedTarget) -> None:
-        """Start the targets, the first of them nearest, and listen."""
+        """Start the targets, the first in the entry's own failure domain, and listen."""
         for number, target in enumerate(targets):
             domain = OTHER_DOMAIN if number else DOMAIN
             self.add(target.name, await target.start(), domain)
@@ -242,23 +242,23 @@
 
 
 async def read_response(reader: asyncio.StreamReader) -> ReceivedResponse:
-    """Read one answer to its end, or to where it breaks off."""
+    """Read one response to its end, or to the point where it breaks off."""
     codec = h11.Connection(h11.CLIENT)
     codec.send(h11.Request(method="POST", target="/", headers=[("Host", HOST)]))
     codec.send(h11.EndOfMessage())
-    answer = ReceivedResponse(0, b"", whole=False, headers={})
+    response = ReceivedResponse(0, b"", whole=False, headers={})
     try:
         while True:
             event = codec.next_event()
             if event is h11.NEED_DATA:
                 codec.receive_data(await reader.read(65_536))
             elif isinstance(event, h11.Response):
-                answer.status = event.status_code
-                answer.headers = {name.decode(): value.decode() for name, value in event.headers}
+                response.status = event.status_code
+                response.headers = {name.decode(): value.decode() for name, value in event.headers}
             elif isinstance(event, h11.Data):
-                answer.body += bytes(event.data)
+                response.body += bytes(event.data)
             else:
-                answer.whole = isinstance(event, h11.EndOfMessage)
-                return answer
+                response.whole = isinstance(event, h11.EndOfMessage)
+                return response
     except (OSError, h11.ProtocolError):
-        return answer
+        return response
--- a/features/harness/direct_moves.py
+++ b/features/harness/direct_moves.py
@@ -1,4 +1,4 @@
-"""Stand in for engines that stop runs and copy their memory to one another."""
+"""Simulate engines that stop runs and copy their memory to one another."""
 
 import asyncio
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class MovingEngines(UnresponsiveEngines):
-    """Move runs off the first engine as the answer says; count the copies that nobody used."""
+    """Move runs off the first engine with a scripted answer, and track the memory copies."""
 
     first: ScriptedTarget
     second: ScriptedTarget
@@ -26,13 +26,13 @@
     dropped: list[str] = field(default_factory=list)
 
     async def report(self, target: TargetRecord) -> EngineReport | None:
-        """Tell when the engine will be gone."""
+        """Return a report with the engine's remaining time."""
         return EngineReport({}, frozenset(), False, 0, 0, 1, 0, gone_in_ms=self.gone_in_ms)
 
     async def stop_and_copy(
         self, source: TargetRecord, request: bytes, to: TargetRecord
     ) -> StoppedRun | None:
-        """Stop the run, or not."""
+        """Stop the run if the scripted answer says so."""
         if self.answer.startswith("no such run"):
             return None
         if self.answer.startswith("nothing"):
@@ -49,7 +49,7 @@
         self.dropped.append(handle)
 
     def unreleased_copies(self) -> int:
-        """Return the copies that were neither used nor freed."""
+        """Return the number of copies that were neither used nor freed."""
         seen = [*self.first.seen, *self.second.seen]
         used = sum(each.ran and "x-continued-from" in each.headers for each in seen)
         return len(self.made) - len(self.dropped) - used
--- a/features/harness/direct_target.py
+++ b/features/harness/direct_target.py
@@ -1,4 +1,4 @@
-"""Stand in for a target that an entry reaches directly, with one fault at a time."""
+"""Simulate a target with a scripted fault."""
 
 import asyncio
 from dataclasses import dataclass
@@ -11,38 +11,38 @@
 PLAIN_BODY = b"the whole answer"
 PROOF = (b"X-Proof", b"p")
 SILENT_S = 30.0
-# Longer than an entry waits for a stalled target before it tries another one.
+# Longer than an entry's stall timeout.
 PAUSE_S = 1.6
 
 
 @dataclass(slots=True)
 class SeenRequest:
-    """Hold what the target has seen of one request."""
+    """Record one request that the target received."""
 
     identity: str
     headers: dict[str, str]
     body: bytes
     ran: bool = True
-    # The headers' names as they came, the repeated ones among them.
+    # Names of the headers as received, with duplicates.
     names: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class ScriptedTarget:
-    """Answer requests; the fault strikes the first request only."""
+    """Answer requests, the first one with the scripted fault."""
 
     name: str
     fault: str = "answers"
     seen: list[SeenRequest] = field(default_factory=list)
     closed: asyncio.Event = field(default_factory=asyncio.Event)
     server: asyncio.Server | None = None
-    # Between two events of a stream.
+    # Interval between the events of a stream.
     event_s: float = 0.01
-    # How long it is silent where it is slow once.
+    # Length of the pause in the faults that pause.
     pause_s: float = PAUSE_S
-    # Whether a run that goes on from memory is refused.
+    # Whether moved runs are refused.
     refuses_continued: bool = False
-    # Whether streams have no length and end with their connection.
+    # Whether streams are sent without a length and end with their connection.
     unframed: bool = False
     writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
@@ -57,7 +57,7 @@
         return sum(each.ran for each in self.seen)
 
     def stop_streams(self) -> None:
-        """End all streams without their ends, as runs that are stopped."""
+        """Cut off all streams, as an engine does when it stops runs."""
         for writer in list(self.writers):
             if self.unframed:
                 writer.close()
@@ -70,10 +70,10 @@
         try:
             while (request := await _read_request(codec, reader)) is not None:
                 seen = _seen_request(*request)
-                strikes = not self.seen
+                is_first = not self.seen
                 self.seen.append(seen)
                 script = _Script(codec, reader, writer, seen, self)
-                fault = self.fault if strikes else "answers"
+                fault = self.fault if is_first else "answers"
                 if self.refuses_continued and "x-continued-from" in seen.headers:
                     fault = "refuses it as not run"
                 if self.unframed and script.stream and "x-continued-from" not in seen.headers:
@@ -178,7 +178,7 @@
         self._send(h11.EndOfMessage())
 
     async def _inject_fault(self, fault: str, number: int) -> bool:
-        """Play a stream's fault at its third event; tell whether the stream has ended."""
+        """Apply a stream's fault at its third event; return whether the stream has ended."""
         if number != 3:
             return False
         match fault:
--- a/features/harness/emitted_names.py
+++ b/features/harness/emitted_names.py
@@ -1,4 +1,4 @@
-"""Find the metrics and log parts that the code emits, by reading its syntax trees."""
+"""Find the metrics and log prefixes that the code emits by parsing its source."""
 
 import ast
 from collections.abc import Iterator
@@ -8,12 +8,12 @@
 METRIC_CALLS = frozenset({"count", "timing", "gauge"})
 LOG_CALL = "log"
 PART_NAME = "PART"
-# What stands in a metric's name where the code puts in a value.
+# Replaces the interpolated values in a metric's name.
 PLACEHOLDER = "<code>"
 
 
 class UnresolvableName(Exception):
-    """Say where a name is given in a way that the search can't follow."""
+    """Raised for a name that can't be determined from the source."""
 
 
 def metrics() -> set[str]:
--- a/features/steps/direct_answers_steps.py
+++ b/features/steps/direct_answers_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the answers of an entry that reaches targets directly."""
+"""Steps that check the responses of an entry that calls targets directly."""
 
 import asyncio
 import re
@@ -142,9 +142,9 @@
 
 @then("the direct caller gets its answer")
 def check_answer(context: Context) -> None:
-    got = context.answer
-    assert (got.status, got.body, got.whole) == (200, PLAIN_BODY, True), got
-    assert got.headers.get("x-request-id") == "r-1", got
+    response = context.answer
+    assert (response.status, response.body, response.whole) == (200, PLAIN_BODY, True), response
+    assert response.headers.get("x-request-id") == "r-1", response
 
 
 @then("the direct caller gets the failure")
@@ -159,16 +159,18 @@
 
 @then("the direct caller gets all its events")
 def check_events(context: Context) -> None:
-    got = context.answer
-    assert (got.status, got.body, got.whole) == (200, ALL_EVENTS, True), got
+    response = context.answer
+    assert (response.status, response.body, response.whole) == (200, ALL_EVENTS, True), response
 
 
 @then("the direct caller gets a broken end")
 def check_broken_end(context: Context) -> None:
-    got = context.answer
-    assert got.status == 200 and not got.whole, got
-    assert ALL_EVENTS.startswith(got.body) and got.body.count(b"\n\n") < EVENT_COUNT, got
-    assert got.body.endswith(b"\n\n"), "half an event was passed on"
+    response = context.answer
+    assert response.status == 200 and not response.whole, response
+    assert (
+        ALL_EVENTS.startswith(response.body) and response.body.count(b"\n\n") < EVENT_COUNT
+    ), response
+    assert response.body.endswith(b"\n\n"), "a partial event was forwarded"
 
 
 @then("the first target ran it {first:d} times and the second one {second:d} times")
--- a/features/steps/direct_moves_steps.py
+++ b/features/steps/direct_moves_steps.py
@@ -1,4 +1,4 @@
-"""Steps of streams that are moved off engines that are taken away."""
+"""Steps for moving streams off engines that are being removed."""
 
 import asyncio
 from dataclasses import replace
--- a/features/steps/direct_retries_steps.py
+++ b/features/steps/direct_retries_steps.py
@@ -1,4 +1,4 @@
-"""Steps of what an entry does again when it fails."""
+"""Steps that check how often an entry retries failed calls."""
 
 import asyncio
 import os
@@ -21,12 +21,11 @@
 from mimosaspur_daemon.direct.storewatch import StoreWatch
 from mimosaspur_state.eventlog import EventLog
 
-# How long the store is away at least.
 MIN_OUTAGE_S = 7.0
 
 
 class RecordingLog(EventLog):
-    """Keep the lines too."""
+    """Keep the event names of the lines in memory."""
 
     def __init__(self, instance: str, *, clock: VirtualClock, fd: int) -> None:
         super().__init__(instance, clock=clock, fd=fd)
@@ -104,22 +103,24 @@
     for seed in range(count):
         random.seed(seed)
         set_entry(context, "calls", "are refused at once")
-        # The outage ends at any place between two attempts.
-        away_s = MIN_OUTAGE_S + seed / count
-        used = run_virtually(_is_used_after_outage(context, away_s, leaves, gone, by), context.loop)
-        assert not used, (seed, away_s)
+        # Vary the point between two attempts at which the outage ends.
+        outage_s = MIN_OUTAGE_S + seed / count
+        used = run_virtually(
+            _is_used_after_outage(context, outage_s, leaves, gone, by), context.loop
+        )
+        assert not used, (seed, outage_s)
 
 
 async def _is_used_after_outage(
-    context: Context, away_s: float, leaves_ms: int, gone_ms: int, by_ms: int
+    context: Context, outage_s: float, leaves_ms: int, gone_ms: int, by_ms: int
 ) -> bool:
-    """Return whether a target that left right after an outage is still used."""
+    """Return whether a target that left shortly after an outage is still used."""
     store, state = context.store, context.state
     store.failing = ""
     task = asyncio.create_task(StoreWatch(state).follow_targets())
     await asyncio.sleep(1)
     store.failing = "calls"
-    await asyncio.sleep(away_s)
+    await asyncio.sleep(outage_s)
     store.failing = ""
     await asyncio.sleep(leaves_ms / 1000)
     store.change("y", replace(store.targets["y"], leaving=True))
--- a/features/steps/direct_work_steps.py
+++ b/features/steps/direct_work_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the work that entries know of at targets, and of how long it takes."""
+"""Steps for the work that entries track at targets, and for latency predictions."""
 
 import re
 from typing import Any
@@ -61,11 +61,11 @@
     if "since" in context:
         reported.add_report(context.since.values())
     reported.set_included(number)
-    context.told = reported.apply_totals(total_work(context.reports, TARGETS).values())
+    context.others_work = reported.apply_totals(total_work(context.reports, TARGETS).values())
 
 
 def _without_empty_ranks(works: dict[str, Work]) -> dict[str, WorkAt]:
-    """Return others' work without ranks at which nothing waits."""
+    """Return other entries' work without the ranks at which nothing waits."""
     found = {}
     for target, work in works.items():
         unread = {rank: int(tokens) for rank, tokens in work.unread.items() if tokens}
@@ -74,16 +74,18 @@
 
 
 @then("it hears of {told}")
-def check_others_of_both(context: Context, told: str) -> None:
-    assert _without_empty_ranks(context.told) == _work(told), context.told
+def check_received_work(context: Context, told: str) -> None:
+    assert _without_empty_ranks(context.others_work) == _work(told), context.others_work
 
 
 @then("entry A takes the others' work for {others}")
 def check_others(context: Context, others: str) -> None:
-    told = {
-        target: work for target, work in _without_empty_ranks(context.told).items() if target == "x"
+    found = {
+        target: work
+        for target, work in _without_empty_ranks(context.others_work).items()
+        if target == "x"
     }
-    assert told == _work(others), context.told
+    assert found == _work(others), context.others_work
 
 
 @then("any order of reports, sums and new coordinators leaves each entry with the others' reports")
@@ -104,7 +106,7 @@
         max_size=40,
     )
 
-    # The sum stays the same, but it is another entry's work by now.
+    # The total stays the same while the work passes from one entry to another.
     taken_over = [
         ("report", 0, {"x": 1}),
         ("hear", 0),
@@ -246,7 +248,7 @@
 
 
 def _queue_tokens(context: Context, queued: int, percent: int) -> tuple[TargetView, Prompt, float]:
-    """Queue counted tokens at a target; return what a request there takes."""
+    """Queue tokens at a target; return it, a prompt and the time that the prompt takes there."""
     view = context.fleet.targets["x"]
     view.others.unread[RANK] = float(queued)
     tokens = MEASURED_TOKENS / context.speeds["fast"]
--- a/packages/daemon/src/mimosaspur_daemon/direct/application.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/application.py
@@ -1,4 +1,4 @@
-"""Own an entry's tasks from start to a graceful end."""
+"""Run an entry's tasks from start to graceful shutdown."""
 
 import asyncio
 import os
@@ -18,14 +18,14 @@
 from mimosaspur_state.errors import MimosaspurError
 from mimosaspur_state.policy import Mechanism
 
-# The balancer asks each second and stops sending callers after two misses.
+# The balancer probes readiness every second and removes an entry after two failures.
 BALANCER_NOTICE_S = 3.0
-# What is left of the shutdown time when unfinished requests are ended.
+# Time left before the shutdown deadline when unfinished requests are ended.
 SHUTDOWN_RESERVE_S = 0.6
-# What those last answers take to be written, and how often it is looked whether they are.
+# Minimum wait for the final responses to be written, then the interval between checks.
 FINAL_RESPONSE_DELAY_S = 0.1
 FINAL_POLL_INTERVAL_S = 0.02
-# What a process takes to end after that, on a slow machine.
+# Reserved for the process to exit on a slow machine.
 EXIT_RESERVE_S = 0.3
 # Settings may change without a signal.
 SETTINGS_POLL_INTERVAL_S = 2.0
@@ -33,10 +33,10 @@
 
 
 class EntryApplication:
-    """Start the parts of an entry, and stop them in order."""
+    """Start the components of an entry and stop them in order."""
 
-    def __init__(self, settings: DirectSettings, outside: EntryDependencies) -> None:
-        self.state = EntryState(settings, outside)
+    def __init__(self, settings: DirectSettings, dependencies: EntryDependencies) -> None:
+        self.state = EntryState(settings, dependencies)
         self.callers = CallerServer(self.state)
         self.status = StatusServer(self.state)
         self.coordination = Duty(self.state)
@@ -54,7 +54,7 @@
         try:
             await self.callers.listen()
             await self.status.listen()
-            peers = await self.coordination.listen()
+            peer_server = await self.coordination.listen()
         except OSError as error:
             log.always("address_taken", error=str(error))
             return ExitCode.ADDRESS_TAKEN
@@ -67,21 +67,21 @@
         self._spawn(self._poll_settings())
         await self.stop_requested.wait()
         await self._stop()
-        peers.close()
+        peer_server.close()
         log.always("stop", failure=repr(self.failure) if self.failure else "")
         return ExitCode.INTERNAL if self.failure else ExitCode.OK
 
     async def _stop(self) -> None:
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
-        end_s = began_s + self.state.settings.shutdown_ms / 1000 - SHUTDOWN_RESERVE_S
+        start_s = loop.time()
+        end_s = start_s + self.state.settings.shutdown_ms / 1000 - SHUTDOWN_RESERVE_S
         self.state.leaving = True
         self.state.log.always("leaving", in_flight=self.callers.in_flight())
-        self.state.balancer_noticed_s = began_s + BALANCER_NOTICE_S
+        self.state.balancer_noticed_s = start_s + BALANCER_NOTICE_S
         self.state.shutdown_deadline_s = end_s
         while loop.time() < end_s and not self._may_stop():
             await asyncio.sleep(0.05)
-        # A request may still come on an open connection: it must not run and then be cut.
+        # Requests may still arrive on open connections: refuse them rather than cut them off.
         self.state.shutting_down = True
         self.callers.stop_accepting()
         self.callers.end_requests()
@@ -91,7 +91,7 @@
             task.cancel()
 
     async def _wait_for_final_responses(self) -> None:
-        """Wait until the last answers, those to late requests among them, are written."""
+        """Wait until the final responses are written, including those to late requests."""
         loop = asyncio.get_running_loop()
         await asyncio.sleep(FINAL_RESPONSE_DELAY_S)
         end_s = loop.time() + SHUTDOWN_RESERVE_S - FINAL_RESPONSE_DELAY_S - EXIT_RESERVE_S
@@ -99,9 +99,9 @@
             await asyncio.sleep(FINAL_POLL_INTERVAL_S)
 
     def _may_stop(self) -> bool:
-        """Tell whether nobody needs this entry any more.
+        """Return whether the entry is idle and another one can take its callers.
 
-        The balancer goes on to send callers here while it knows of nobody else.
+        The balancer keeps sending callers here while it knows of no other entry.
         """
         if asyncio.get_running_loop().time() < self.state.balancer_noticed_s:
             return False
@@ -116,15 +116,15 @@
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
         if task.cancelled() or self.state.leaving:
             return
-        # These run for as long as the process: an end is a fault of ours.
+        # These tasks run for the life of the process, so an end is an internal error.
         self.failure = task.exception()
         self.state.log.always("task_failed", error=repr(self.failure))
         self.stop_requested.set()
 
     def _handle_signals(self) -> None:
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop_requested.set)
+        for signum in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signum, self.stop_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         loop.add_signal_handler(signal.SIGUSR1, self._log_task_stacks)
 
@@ -135,7 +135,7 @@
         try:
             settings = self.state.dependencies.reload()
         except MimosaspurError as error:
-            # The process goes on with what it has.
+            # Keep the current settings.
             self.state.log.always("reload_failed", code=error.code.value, error=str(error))
             return
         self.state.settings = settings
@@ -154,10 +154,10 @@
                 pool.prune()
 
 
-def run_entry(settings: DirectSettings, outside: EntryDependencies) -> int:
+def run_entry(settings: DirectSettings, dependencies: EntryDependencies) -> int:
     """Run an entry until it is asked to stop; return its exit code."""
 
     async def run() -> int:
-        return await EntryApplication(settings, outside).run()
+        return await EntryApplication(settings, dependencies).run()
 
     return asyncio.run(run())
--- a/packages/daemon/src/mimosaspur_daemon/direct/attempt.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/attempt.py
@@ -1,4 +1,4 @@
-"""Run a request once at one target, and pass the answer on."""
+"""Send a request to one target and forward the response."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -24,45 +24,45 @@
 
 T = TypeVar("T")
 
-# An answer of a plain service is passed on when it is whole, if it is no larger.
+# Limit on the response of a plain service, which is buffered before it is forwarded.
 MAX_RESPONSE_BYTES = 8_000_000
-# A target that says nothing for this many times what was predicted is given up, if the request
-# may be repeated.
+# A retryable request is sent elsewhere when the first event takes this many times its predicted
+# time.
 SILENCE_TIMEOUT_FACTOR = 3.0
 MIN_SILENCE_TIMEOUT_MS = 900
-# A begun stream that pauses for this many times the route's longest pause is resumed elsewhere.
+# A stream is resumed elsewhere when it pauses for this many times the route's gap objective.
 STALL_TIMEOUT_FACTOR = 3
 MIN_STALL_TIMEOUT_MS = 1_000
-# A moved run comes to its new target, and back to where it ran if that refuses it.
+# A moved run is sent to its new target, and back to its source if that refuses it.
 MOVE_RETRY_COUNT = 2
 
 
 class AttemptResult(Enum):
-    """Say what became of an attempt."""
+    """List the outcomes of an attempt."""
 
     DONE = "done"
     # The target did not run the request.
     NOT_RUN = "not_run"
-    # The request may have run; what the caller got so far can be continued.
+    # The request may have run; a resumable stream can be continued elsewhere.
     BROKEN = "broken"
-    # The run was stopped, and goes on elsewhere from its memory.
+    # The run was stopped and continues at another target from its memory.
     MOVED = "moved"
-    # The target answered with a failure, which may be passed on.
+    # The target responded with an error, which may be forwarded.
     FAILED = "failed"
 
 
 class Attempt:
-    """Run a journey's request once at one target."""
+    """Run a request once at one target."""
 
     __slots__ = (
         "channel",
         "continued",
         "ended",
-        "last_event_s",
         "first_token",
         "first_token_s",
-        "pending_move",
         "handler",
+        "last_event_s",
+        "pending_move",
         "predicted_ms",
         "rank",
         "sent_s",
@@ -72,43 +72,42 @@
 
     def __init__(
         self,
-        journey: "RequestHandler",
+        handler: "RequestHandler",
         view: TargetView,
         channel: HttpChannel,
         continued: MovedRun | None = None,
     ) -> None:
-        self.handler = journey
+        self.handler = handler
         self.view = view
         self.channel = channel
-        # The stopped run that goes on here.
+        # The stopped run that continues here.
         self.continued = continued
         self.ended = False
-        # The end of a move that has begun.
+        # Resolved when a move that has begun ends.
         self.pending_move: asyncio.Future[MovedRun | None] | None = None
-        self.rank = journey.target_selector.rank
-        self.predicted_ms = view.first_token_ms(journey.prompt, rank=self.rank)
-        self.unread = view.begin(journey.prompt, rank=self.rank)
+        self.rank = handler.target_selector.rank
+        self.predicted_ms = view.first_token_ms(handler.prompt, rank=self.rank)
+        self.unread = view.begin(handler.prompt, rank=self.rank)
         self.sent_s = asyncio.get_running_loop().time()
         self.first_token = False
         self.first_token_s = 0.0
-        # When the last event came.
         self.last_event_s = 0.0
 
     def end(self) -> None:
-        """Count the request out of the target's work."""
+        """Remove the request from the target's work."""
         if not self.first_token:
             self.view.read(unread=self.unread, rank=self.rank)
         self.view.end(self.handler.prompt)
         self.ended = True
 
     async def move(self, to: TargetView) -> bool:
-        """Stop the run and let it go on at another target; tell whether it was stopped."""
-        journey = self.handler
-        request = header(journey.request.headers, journey.state.dependencies.dialect.request_id)
-        if not request or not journey.retries.spend(MOVE_RETRY_COUNT, what="move"):
+        """Stop the run to continue it at another target; return whether it was stopped."""
+        handler = self.handler
+        request = header(handler.request.headers, handler.state.dependencies.dialect.request_id)
+        if not request or not handler.retries.spend(MOVE_RETRY_COUNT, what="move"):
             return False
         self.pending_move = asyncio.get_running_loop().create_future()
-        engines = journey.state.dependencies.engines
+        engines = handler.state.dependencies.engines
         moved = None
         try:
             stopped = await engines.stop_and_copy(self.view.record, request, to.record)
@@ -116,12 +115,12 @@
                 moved = MovedRun(to if stopped.copied else self.view, self.view, stopped.handle)
         finally:
             self.pending_move.set_result(moved)
-        if moved and journey.done:
+        if moved and handler.done:
             await engines.drop_copy(self.view.record, moved.handle)
         return moved is not None
 
     async def _was_moved(self) -> bool:
-        """Tell whether the stream has ended because the run goes on elsewhere."""
+        """Return whether the stream ended because the run was moved."""
         if self.pending_move is None:
             return False
         moved = await self.pending_move
@@ -129,11 +128,11 @@
         return moved is not None
 
     async def run(self) -> AttemptResult:
-        """Send the request and pass the answer on."""
-        journey = self.handler
-        request = journey.request
+        """Send the request and forward the response."""
+        handler = self.handler
+        request = handler.request
         try:
-            journey.in_flight = True
+            handler.in_flight = True
             await self.channel.send(
                 request.method, request.target, target_headers(self), request.body
             )
@@ -141,26 +140,26 @@
             if self._is_not_run(head):
                 await self._read_with_timeout(self._read_body(), self._silence_timeout_s())
                 return AttemptResult.NOT_RUN
-            if journey.route.kind is RouteKind.STREAM and 200 <= head.status < 300:
+            if handler.route.kind is RouteKind.STREAM and 200 <= head.status < 300:
                 return await self._forward_stream(head)
             return await self._forward_whole(head)
         except ChannelBroken as error:
             self.channel.close()
             if await self._was_moved():
                 return AttemptResult.MOVED
-            journey.cause = str(error)
+            handler.cause = str(error)
             self.view.health.failed()
             return AttemptResult.BROKEN
         except TimeoutError:
-            if asyncio.get_running_loop().time() >= journey.deadline_s:
+            if asyncio.get_running_loop().time() >= handler.deadline_s:
                 raise
-            journey.cause = "silent for too long"
+            handler.cause = "target timed out while another one was available"
             self.view.health.failed()
             self.channel.close()
             return AttemptResult.BROKEN
 
     async def _read_with_timeout(self, read: Coroutine[Any, Any, T], limit_s: float | None) -> T:
-        """Read from the target, beyond the limit too while no other one can take the request."""
+        """Read from the target; exceed the limit while no other target can take the request."""
         reading = asyncio.get_running_loop().create_task(read)
         try:
             while not (await asyncio.wait({reading}, timeout=limit_s))[0]:
@@ -170,20 +169,19 @@
             reading.cancel()
 
     def _raise_if_replaceable(self) -> None:
-        """Raise TimeoutError if a target that has been silent for too long is to be given up.
+        """Raise TimeoutError if another target can take the request within the retry budget.
 
-        A target that is only slow ends the answer late. Without another one that can take the
-        request, giving it up would end the answer instead.
+        Otherwise keep waiting: a slow target may still finish, and aborting would fail the request.
         """
-        journey = self.handler
-        if journey.target_selector.has_other(self.view) and journey.retries.window.allows():
+        handler = self.handler
+        if handler.target_selector.has_other(self.view) and handler.retries.window.allows():
             raise TimeoutError
 
     async def _read_body(self) -> bytes:
         return await self.channel.rest(MAX_RESPONSE_BYTES)
 
     async def _read_own_head(self) -> AnswerHead:
-        """Return the head of the answer to this request; others may come before it."""
+        """Return the head of this request's response; skip responses to other requests."""
         name = self.handler.state.dependencies.dialect.request_id
         mine = header(self.handler.request.headers, name)
         while True:
@@ -198,70 +196,70 @@
         return head.status == 421 or header(head.headers, dialect.not_run) is not None
 
     def _is_authentic(self, head: AnswerHead) -> bool:
-        """Tell whether a success is the target's own."""
+        """Return whether a successful response comes from the target itself."""
         proof = self.handler.state.dependencies.dialect.proof
         encoded = header(head.headers, b"content-encoding")
         return not encoded and (not proof or header(head.headers, proof) is not None)
 
     async def _forward_whole(self, head: AnswerHead) -> AttemptResult:
-        journey = self.handler
+        handler = self.handler
         body = await self._read_with_timeout(self._read_body(), self._silence_timeout_s())
         if head.status < 400 and not self._is_authentic(head):
-            raise ChannelBroken("the answer is not the target's")
+            raise ChannelBroken("response is encoded or lacks the target's proof header")
         if head.status >= 500:
             self.view.health.failed()
-            journey.failure = (head, body)
+            handler.failure = (head, body)
             return AttemptResult.FAILED
         self.view.health.succeeded()
-        if journey.started:
-            raise ChannelBroken("a resumed stream was answered otherwise")
-        await journey.forward_response(head, body)
-        journey.record_duration(self.sent_s)
+        if handler.started:
+            raise ChannelBroken("target answered a resumed stream with a whole response")
+        await handler.forward_response(head, body)
+        handler.record_duration(self.sent_s)
         return AttemptResult.DONE
 
     async def _forward_stream(self, head: AnswerHead) -> AttemptResult:
-        journey = self.handler
+        handler = self.handler
         if not self._is_authentic(head):
-            raise ChannelBroken("the answer is not the target's")
-        journey.cutter.restart()
+            raise ChannelBroken("response is encoded or lacks the target's proof header")
+        handler.cutter.restart()
         try:
-            while (piece := await self._read_chunk()) is not None:
-                before = journey.cutter.last_id
-                events = journey.cutter.feed(piece)
+            while (chunk := await self._read_chunk()) is not None:
+                before = handler.cutter.last_id
+                events = handler.cutter.feed(chunk)
                 if events:
                     self._record_first_token()
-                    self._record_pause(before, journey.cutter.last_id)
+                    self._record_pause(before, handler.cutter.last_id)
                     await self._start_response(head)
-                    await journey.caller.send(events)
+                    await handler.caller.send(events)
         except EventMissing as error:
             raise ChannelBroken(str(error)) from error
         if await self._was_moved():
-            # An answer without a length ends with its connection, also when its run was stopped.
+            # A response without a length ends with its connection, even if its run was stopped.
             self.channel.close()
             return AttemptResult.MOVED
         await self._start_response(head)
-        if journey.cutter.begun:
-            await journey.caller.send(journey.cutter.begun)
-        await journey.caller.finish()
+        if handler.cutter.begun:
+            await handler.caller.send(handler.cutter.begun)
+        await handler.caller.finish()
         self.view.health.succeeded()
         lasted_ms = (asyncio.get_running_loop().time() - self.first_token_s) * 1000
         if self.first_token:
             self.view.lasted(lasted_ms)
-        journey.record_duration(self.first_token_s or self.sent_s)
+        handler.record_duration(self.first_token_s or self.sent_s)
         return AttemptResult.DONE
 
     async def _start_response(self, head: AnswerHead) -> None:
-        journey = self.handler
-        if not journey.started:
-            journey.started = True
+        handler = self.handler
+        if not handler.started:
+            handler.started = True
             headers = end_to_end(head.headers)
-            await journey.caller.start(head.status, headers, close=journey.state.leaving)
+            await handler.caller.start(head.status, headers, close=handler.state.leaving)
 
     async def _read_chunk(self) -> bytes | None:
         limit_s = self._stall_timeout_s() if self.first_token else self._silence_timeout_s()
         while True:
             try:
-                # A read that was cancelled has taken nothing, and may begin again.
+                # A cancelled read has consumed nothing, so it can be repeated.
                 async with asyncio.timeout(limit_s):
                     return await self.channel.piece()
             except TimeoutError:
@@ -275,41 +273,41 @@
         self.handler.first_ms = round((now_s - self.handler.request.arrived_s) * 1000)
         took_ms = (now_s - self.sent_s) * 1000
         self.view.read(unread=self.unread, rank=self.rank)
-        journey = self.handler
+        handler = self.handler
         if self.rank != LATE_RANK:
-            # How long what is late waits depends on what comes after it.
+            # The wait of a late request depends on requests that arrive after it.
             self.view.first_token(
-                journey.prompt,
+                handler.prompt,
                 unread=self.unread,
                 predicted_ms=self.predicted_ms,
                 took_ms=took_ms,
             )
 
     def _record_pause(self, before: int | None, last: int | None) -> None:
-        """Note how long the stream paused before the events that have just come."""
+        """Record the pause before the events that were just received."""
         if last is None:
             return
         now_s = asyncio.get_running_loop().time()
         if before is not None and self.last_event_s:
             paused_ms = (now_s - self.last_event_s) * 1000
-            journey = self.handler
-            journey.longest_pause_ms = max(journey.longest_pause_ms, round(paused_ms))
+            handler = self.handler
+            handler.longest_pause_ms = max(handler.longest_pause_ms, round(paused_ms))
         self.last_event_s = now_s
 
     def _silence_timeout_s(self) -> float | None:
-        """Return how long the target may say nothing, None for as long as it takes."""
-        journey = self.handler
-        if not journey.route.repeatable or journey.possible_runs + 1 >= journey.route.max_attempts:
+        """Return the timeout for the first data of a response, or None for no timeout."""
+        handler = self.handler
+        if not handler.route.repeatable or handler.possible_runs + 1 >= handler.route.max_attempts:
             return None
-        if journey.route.kind is RouteKind.STREAM:
+        if handler.route.kind is RouteKind.STREAM:
             wait_ms = max(MIN_SILENCE_TIMEOUT_MS, self.predicted_ms * SILENCE_TIMEOUT_FACTOR)
-            return (wait_ms + journey.route.objective_ms) / 1000
-        return journey.route.objective_ms / 1000
+            return (wait_ms + handler.route.objective_ms) / 1000
+        return handler.route.objective_ms / 1000
 
     def _stall_timeout_s(self) -> float | None:
-        journey = self.handler
-        if not journey.route.repeatable or journey.possible_runs + 1 >= journey.route.max_attempts:
+        handler = self.handler
+        if not handler.route.repeatable or handler.possible_runs + 1 >= handler.route.max_attempts:
             return None
         return (
-            max(MIN_STALL_TIMEOUT_MS, STALL_TIMEOUT_FACTOR * journey.route.gap_objective_ms) / 1000
+            max(MIN_STALL_TIMEOUT_MS, STALL_TIMEOUT_FACTOR * handler.route.gap_objective_ms) / 1000
         )
--- a/packages/daemon/src/mimosaspur_daemon/direct/attemptlog.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/attemptlog.py
@@ -1,4 +1,4 @@
-"""Log what became of a request at one target."""
+"""Log the outcome of a request at one target."""
 
 import asyncio
 from typing import TYPE_CHECKING
@@ -11,39 +11,39 @@
 
 
 def log_attempt(
-    journey: "RequestHandler",
+    handler: "RequestHandler",
     view: TargetView,
     result: AttemptResult,
     offer: int,
     *,
     continued: bool,
 ) -> None:
-    """Write the line of an attempt that has ended, and count its times."""
-    log = journey.state.log
-    if journey.first_ms:
-        log.counters.observe("first_event_ms", journey.first_ms)
-    log.counters.observe("waited_ms", journey.waited_ms)
+    """Log an attempt that has ended and record its latencies."""
+    log = handler.state.log
+    if handler.first_ms:
+        log.counters.observe("first_event_ms", handler.first_ms)
+    log.counters.observe("waited_ms", handler.waited_ms)
     log.write(
         "answered" if result is AttemptResult.DONE else "attempt",
-        request=journey.request_id(),
-        workspace=journey.workspace.name if journey.workspace else "",
-        route=journey.route.name,
-        model=journey.prompt.model,
-        adapter=journey.prompt.adapter,
+        request=handler.request_id(),
+        workspace=handler.workspace.name if handler.workspace else "",
+        route=handler.route.name,
+        model=handler.prompt.model,
+        adapter=handler.prompt.adapter,
         target=view.record.identity,
         offer=offer,
         continued=continued,
         result=result.value,
-        cause=journey.cause,
-        started=journey.started,
-        last_event=journey.cutter.last_id,
-        waited_ms=journey.waited_ms,
-        rank=journey.target_selector.rank,
-        predicted_ms=journey.predicted_ms,
-        first_ms=journey.first_ms,
-        objective_ms=journey.route.objective_ms,
-        longest_pause_ms=journey.longest_pause_ms,
-        lasted_ms=round((asyncio.get_running_loop().time() - journey.request.arrived_s) * 1000),
+        cause=handler.cause,
+        started=handler.started,
+        last_event=handler.cutter.last_id,
+        waited_ms=handler.waited_ms,
+        rank=handler.target_selector.rank,
+        predicted_ms=handler.predicted_ms,
+        first_ms=handler.first_ms,
+        objective_ms=handler.route.objective_ms,
+        longest_pause_ms=handler.longest_pause_ms,
+        lasted_ms=round((asyncio.get_running_loop().time() - handler.request.arrived_s) * 1000),
         at_target=view.requests(),
         failing=round(view.health.failing_share(), 2),
     )
--- a/packages/daemon/src/mimosaspur_daemon/direct/callers.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/callers.py
@@ -23,19 +23,19 @@
 from mimosaspur_transport.dialect import header
 
 LISTEN_BACKLOG = 512
-# When a caller may come back while this entry can't serve at all.
+# Retry-After while this entry has no configuration or no targets yet.
 NOT_READY_RETRY_S = 0.3
-# Another entry takes a caller that is sent away by one that leaves.
+# Retry-After of a leaving entry whose callers another entry can take.
 LEAVING_RETRY_S = 0.05
-# From a process's end until it has started again and knows the targets.
+# Time from exit until the restarted process has loaded the targets.
 RESTART_DURATION_S = 1.0
-# A connection on which nothing has come for so long carries no request: what a caller sends on a
-# connection takes a few ms, and some are late.
+# A connection without input for this long has no request under way: callers send a request within
+# some ms.
 MIN_IDLE_S = 0.3
 
 
 class CallerServer:
-    """Accept callers and answer them."""
+    """Accept callers' connections and serve their requests."""
 
     def __init__(self, state: EntryState) -> None:
         self.state = state
@@ -45,7 +45,7 @@
         self.server: asyncio.Server | None = None
 
     async def listen(self) -> None:
-        """Start to accept connections."""
+        """Start accepting connections."""
         loop = asyncio.get_running_loop()
         host, port = self.state.settings.callers_address
 
@@ -58,22 +58,22 @@
         )
 
     def in_flight(self) -> int:
-        """Return the number of requests that are being answered."""
+        """Return the number of requests in progress."""
         return sum(connection.answering for connection in self.connections)
 
     def close_idle(self) -> None:
-        """Close the connections that carry no request."""
+        """Close connections that have no request in progress."""
         for connection in self.connections:
             if connection.idle_s() >= MIN_IDLE_S:
                 connection.close()
 
     def end_requests(self) -> None:
-        """End what is still unanswered: with an answer where none has begun."""
-        for journey in list(self.handlers):
-            journey.end_now()
+        """End unfinished requests, with an error response if none has started."""
+        for handler in list(self.handlers):
+            handler.end_now()
 
     def stop_accepting(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         if self.server:
             self.server.close()
 
@@ -111,7 +111,7 @@
     async def _answer_until_disconnect(
         self, connection: CallerConnection, request: CallerRequest
     ) -> bool:
-        """Answer a request; tell whether the caller got all of it."""
+        """Answer a request unless the caller leaves; return whether it was answered in full."""
         task = asyncio.get_running_loop().create_task(self._answer(connection, request))
         connection.reader.on_gone = lambda: _cancel(task)
         if connection.reader.at_eof() or connection.reader.exception():
@@ -133,25 +133,25 @@
             workspace = authenticate(self.state, route, request)
             await wait_for_first_quotas(self.state, workspace)
             service = _pick_service(route)
-            journey = RequestHandler(self.state, route, service, request, connection, workspace)
-            late = request.arrived_s > self.state.balancer_noticed_s and not journey.ends_in_time()
+            handler = RequestHandler(self.state, route, service, request, connection, workspace)
+            late = request.arrived_s > self.state.balancer_noticed_s and not handler.ends_in_time()
             if late or self.state.shutting_down:
-                raise self._draining_refusal(journey)
-            charge_quota(journey)
-        except RequestFailed as refusal:
-            await self._refuse(connection, request, refusal)
+                raise self._draining_refusal(handler)
+            charge_quota(handler)
+        except RequestFailed as failure:
+            await self._refuse(connection, request, failure)
             return True
-        self.handlers.add(journey)
+        self.handlers.add(handler)
         try:
-            await journey.run()
-        except RequestFailed as refusal:
-            if journey.started:
-                self._log(request, refusal, started=True)
+            await handler.run()
+        except RequestFailed as failure:
+            if handler.started:
+                self._log(request, failure, started=True)
                 return False
-            await self._refuse(connection, request, refusal)
+            await self._refuse(connection, request, failure)
         finally:
-            self.handlers.discard(journey)
-            refund_unless_run(journey)
+            self.handlers.discard(handler)
+            refund_unless_run(handler)
         return True
 
     def _route(self, request: CallerRequest) -> Route:
@@ -163,32 +163,32 @@
             raise RequestFailed(ResultCode.NOT_FOUND)
         return route
 
-    def _draining_refusal(self, journey: RequestHandler) -> RequestFailed:
-        """Refuse what can't surely be ended before this process ends."""
+    def _draining_refusal(self, handler: RequestHandler) -> RequestFailed:
+        """Return the error for a request that might not finish before this process exits."""
         wanted_s = LEAVING_RETRY_S
         if self.state.is_last_entry():
-            # Nobody else is there: this process is, once it has started again.
+            # No other entry is available: ask for a retry after this process has restarted.
             wanted_s = (
                 self.state.shutdown_deadline_s
                 - asyncio.get_running_loop().time()
                 + RESTART_DURATION_S
             )
-        return journey.target_selector.refusal(ResultCode.DRAINING, wanted_s=wanted_s)
+        return handler.target_selector.refusal(ResultCode.DRAINING, wanted_s=wanted_s)
 
     async def _refuse(
-        self, connection: CallerConnection, request: CallerRequest, refusal: RequestFailed
+        self, connection: CallerConnection, request: CallerRequest, failure: RequestFailed
     ) -> None:
-        self._log(request, refusal, started=False)
+        self._log(request, failure, started=False)
         headers: Headers = [(b"Content-Type", b"text/plain")]
         name = self.state.dependencies.dialect.request_id
         identity = header(request.headers, name)
         if identity is not None:
             headers.append((name, identity))
-        if refusal.retry_after_s is not None:
-            headers.append((b"Retry-After", b"%g" % refusal.retry_after_s))
-        info = CODE_TABLE[refusal.code]
-        body = f"{refusal.code.value} {info.meaning} {info.next_step}\n".encode()
-        await connection.answer(refusal.status, headers, body, close=self.state.leaving)
+        if failure.retry_after_s is not None:
+            headers.append((b"Retry-After", b"%g" % failure.retry_after_s))
+        info = CODE_TABLE[failure.code]
+        body = f"{failure.code.value} {info.meaning} {info.next_step}\n".encode()
+        await connection.answer(failure.status, headers, body, close=self.state.leaving)
 
     async def _refuse_malformed(self, connection: CallerConnection, error: BadRequest) -> None:
         self.state.log.write("bad_request", status=error.status, detail=error.detail)
@@ -197,9 +197,9 @@
         except CallerGone:
             connection.abort()
 
-    def _log(self, request: CallerRequest, refusal: RequestFailed, *, started: bool) -> None:
+    def _log(self, request: CallerRequest, failure: RequestFailed, *, started: bool) -> None:
         identity = header(request.headers, self.state.dependencies.dialect.request_id) or b""
-        held_s = asyncio.get_running_loop().time() - request.arrived_s
+        elapsed_s = asyncio.get_running_loop().time() - request.arrived_s
         self.state.log.write(
             "given_up",
             request=identity.decode("latin-1"),
@@ -207,9 +207,9 @@
             model=(header(request.headers, self.state.dependencies.dialect.model) or b"").decode(
                 "latin-1"
             ),
-            code=refusal.code.value,
-            held_ms=round(held_s * 1000),
-            retry_after_s=refusal.retry_after_s,
+            code=failure.code.value,
+            held_ms=round(elapsed_s * 1000),
+            retry_after_s=failure.retry_after_s,
             started=started,
             version=self.state.configuration.version if self.state.configuration else None,
         )
--- a/packages/daemon/src/mimosaspur_daemon/direct/entrystate.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/entrystate.py
@@ -1,4 +1,4 @@
-"""Hold what all parts of one entry share."""
+"""Share state between the components of one entry."""
 
 import asyncio
 import contextlib
@@ -34,8 +34,8 @@
 
 K = TypeVar("K")
 
-# Ranks at engines: a stream that goes on at another engine must not pause for long, and what will
-# be late anyway goes last. The priorities of requests lie between them.
+# Ranks in engine queues: resumed streams go first to keep their pause short, requests that will be
+# late anyway go last, and the priorities of requests lie between them.
 RESUMED_RANK = 0
 FIRST_RANK = 1
 LATE_RANK = 9
@@ -43,30 +43,30 @@
 
 @dataclass(slots=True)
 class EntryDependencies:
-    """Hold the ports through which an entry reaches everything outside of its process."""
+    """Provide the ports to everything outside the entry's process."""
 
     clock: Clock
     log: EventLog
     dialect: Dialect
     store: FleetStore
     engines: EnginePort
-    # Reads the settings anew; raises MimosaspurError.
+    # Reads the settings again; raises MimosaspurError.
     reload: Callable[[], DirectSettings]
-    # Tells whether the settings have changed since the last call.
+    # Returns whether the settings have changed since the last call.
     changed: Callable[[], bool]
 
 
 @dataclass(slots=True)
 class UnreportedDemand:
-    """Hold what callers asked of a model since the last report."""
+    """Count the demand for a model since the last report to the coordinator."""
 
     tokens: int = 0
-    # The shortest time to a first event among the requests' routes.
+    # The shortest first-event objective among the requests' routes.
     objective_ms: int = 0
 
 
 class ChangeNotifier:
-    """Wake all who wait for the picture of the fleet to change."""
+    """Wake tasks that wait for changes to the fleet or the configuration."""
 
     __slots__ = ("event",)
 
@@ -74,7 +74,7 @@
         self.event = asyncio.Event()
 
     def notify(self) -> None:
-        """Wake all who wait."""
+        """Wake all waiting tasks."""
         self.event.set()
         self.event = asyncio.Event()
 
@@ -89,11 +89,11 @@
 class EntryState:
     """Hold configuration, targets, connections and counts of one entry."""
 
-    def __init__(self, settings: DirectSettings, outside: EntryDependencies) -> None:
+    def __init__(self, settings: DirectSettings, dependencies: EntryDependencies) -> None:
         self.settings = settings
-        self.dependencies = outside
-        self.clock = outside.clock
-        self.log = outside.log
+        self.dependencies = dependencies
+        self.clock = dependencies.clock
+        self.log = dependencies.log
         self.configuration: Configuration | None = None
         self.fleet = FleetView(
             clock=self.clock,
@@ -102,55 +102,54 @@
         )
         self.pools: dict[str, ChannelPool] = {}
         self.retry_windows: dict[str, RetryWindow] = {}
-        # This entry's part of the constants that bound repeats.
+        # This entry's share of the constant part of the retry budgets.
         self.retry_share = PartLease(window_ms=settings.retries.window_ms, clock=SuspendClock())
         self.quotas = QuotaLimiter(settings.quotas, clock=self.clock)
-        # Set once a coordinator has told what is left of quotas.
+        # Set once a coordinator has sent the remaining quotas.
         self.quotas_received = asyncio.Event()
-        # The ranks of a configuration's requests.
+        # Ranks of requests, and the configuration that they were computed from.
         self.ranks: dict[Priority, int] = {}
         self.ranked_configuration: Configuration | None = None
         self.changes = ChangeNotifier()
-        # Short tasks that nobody waits for.
+        # References to background tasks: the event loop itself keeps only weak ones.
         self.tasks: set[asyncio.Task[None]] = set()
-        # Set when the targets have changed.
         self.targets_updated = asyncio.Event()
-        # What was asked of each model since the last report to the coordinator.
+        # Demand since the last report to the coordinator, by model and by adapter.
         self.unreported_demand: dict[str, UnreportedDemand] = {}
         self.unreported_adapter_requests: dict[tuple[str, str], int] = {}
-        # Requests that wait for a model, and those that wait for an adapter.
+        # Numbers of requests that wait for a model, and for an adapter.
         self.waiting: dict[str, int] = {}
         self.waiting_adapters: dict[tuple[str, str], int] = {}
         # Targets to which no connection could be opened since the last report.
         self.unreachable: set[str] = set()
-        # When models that are being loaded are expected, as the coordinator told.
+        # Time until models that are being loaded are ready, as the coordinator last reported.
         self.model_ready_in_ms: dict[str, int] = {}
         self.reported_work = ReportedWork()
-        # Set when the coordinator should hear from this entry before its next turn.
+        # Set to send the coordinator a report before the next periodic one.
         self.report_requested = asyncio.Event()
-        # Entries that stay, as the coordinator last told, 0 if nobody told.
+        # Entries that are not leaving, as the coordinator last reported; 0 if unknown.
         self.staying_entries = 0
         self.targets_known = False
         self.freshness = StoreFreshness(bound_ms=settings.drain_ms, clock=self.clock)
         self.leaving = False
-        # Whether this entry coordinates the others.
+        # Whether this entry is the coordinator.
         self.coordinating = False
-        # While leaving, on the event loop's clock: when the balancer has noticed, and when all that
-        # is unanswered is ended.
+        # While leaving, on the event loop's clock: when the balancer has stopped sending callers,
+        # and when unfinished requests are ended.
         self.balancer_noticed_s = float("inf")
         self.shutdown_deadline_s = float("inf")
-        # Whether nothing is passed on to targets any more, since this process ends now.
+        # Whether requests are no longer sent to targets because the process is about to exit.
         self.shutting_down = False
         self.durations = Durations()
-        # Dependencies that do not answer now.
+        # Dependencies that do not respond at present.
         self.unavailable: set[str] = set()
 
     def uses(self, mechanism: Mechanism) -> bool:
-        """Tell whether a mechanism is on."""
+        """Return whether a mechanism is enabled."""
         return self.settings.policy.uses(mechanism)
 
     def apply_configuration(self, newest: Configuration, *, source: str) -> bool:
-        """Put a configuration in force if it is newer; tell whether it is."""
+        """Apply a configuration if it is newer; return whether it is."""
         current = self.configuration
         if current and newest.version <= current.version:
             return False
@@ -172,22 +171,22 @@
         return self.configuration.version if self.configuration else 0
 
     def rank_of(self, route: Route, workspace: Workspace | None) -> int:
-        """Return the place of a request in an engine's queue if it can be on time."""
+        """Return the rank in engine queues of a request that can be on time."""
         if self.configuration is not self.ranked_configuration and self.configuration:
             self.ranks = rank_table(self.configuration, first=FIRST_RANK, last=LATE_RANK - 1)
             self.ranked_configuration = self.configuration
-        # A request may have come under an older configuration.
+        # The request may have arrived under an older configuration.
         return self.ranks.get(priority_of(route, workspace), LATE_RANK - 1)
 
     def pool(self, record: TargetRecord) -> ChannelPool:
-        """Return the connections to a target."""
+        """Return the connection pool of a target."""
         pool = self.pools.get(record.identity)
         if pool is None:
             pool = self.pools[record.identity] = ChannelPool(record.address, clock=self.clock)
         return pool
 
     def drop_copy(self, record: TargetRecord, handle: str) -> None:
-        """Have the memory of a stopped run freed that nobody will use."""
+        """Free the unused memory of a stopped run in the background."""
         task = asyncio.get_running_loop().create_task(
             self.dependencies.engines.drop_copy(record, handle)
         )
@@ -195,13 +194,13 @@
         task.add_done_callback(self.tasks.discard)
 
     def remove_target(self, identity: str) -> None:
-        """Drop the connections to a target that is gone."""
+        """Close the connections to a target that is gone."""
         pool = self.pools.pop(identity, None)
         if pool:
             pool.close()
 
     def retry_window(self, service: str) -> RetryWindow:
-        """Return the bound on repeats for a service."""
+        """Return the retry budget of a service."""
         window = self.retry_windows.get(service)
         if window is None:
             window = RetryWindow(self.settings.retries, lease=self.retry_share, clock=self.clock)
@@ -213,14 +212,14 @@
         if adapter:
             key = (model, adapter)
             self.unreported_adapter_requests[key] = self.unreported_adapter_requests.get(key, 0) + 1
-        asked = self.unreported_demand.setdefault(
+        demand = self.unreported_demand.setdefault(
             model, UnreportedDemand(objective_ms=objective_ms)
         )
-        asked.tokens += tokens
-        asked.objective_ms = min(asked.objective_ms, objective_ms)
+        demand.tokens += tokens
+        demand.objective_ms = min(demand.objective_ms, objective_ms)
 
     def on_targets_changed(self, ended: Iterable[str]) -> None:
-        """Take note that the targets are known anew, and that some have ended."""
+        """Record that the targets were updated and close connections to those that ended."""
         for identity in ended:
             self.remove_target(identity)
         self.targets_known = True
@@ -228,22 +227,22 @@
         self.changes.notify()
 
     def on_coordinator_lost(self) -> None:
-        """Go on with what this entry knows by itself."""
+        """Fall back to what this entry has observed itself."""
         self.reported_work.reset()
         self.quotas.coordinator_lost()
         self.fleet.coordinator_lost()
 
     def ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Return whether callers may be sent here."""
         return bool(self.configuration and self.targets_known and not self.leaving)
 
     def is_last_entry(self) -> bool:
-        """Tell whether no other entry is known to stay while this one leaves."""
+        """Return whether no other entry is known to stay while this one leaves."""
         return not self.staying_entries
 
     @contextlib.contextmanager
     def waiting_for(self, model: str, adapter: str) -> Iterator[None]:
-        """Count a request that waits for a model or an adapter, while it waits."""
+        """Count a request as waiting for a model or an adapter within the context."""
         self.waiting[model] = self.waiting.get(model, 0) + 1
         if adapter:
             key = (model, adapter)
--- a/packages/daemon/src/mimosaspur_daemon/direct/evacuation.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/evacuation.py
@@ -14,41 +14,41 @@
     from mimosaspur_daemon.direct.attempt import Attempt
     from mimosaspur_daemon.direct.requesthandler import RequestHandler
 
-# A stream that goes on at another engine must not pause for long.
+# Moved streams go first in engine queues, to keep their pause short.
 MOVED_RANK = 0
-# A copy that would begin later than this before its source is gone would not be whole in time.
+# A copy that starts with less time than this left would not complete before its source is gone.
 MIN_COPY_TIME_S = 0.1
-# A leaving target is asked so often, so far apart, when it will be gone.
+# Requests to a leaving target for its remaining time, and the delay between them.
 MAX_REPORT_REQUESTS = 3
 REPORT_RETRY_DELAY_S = 0.15
 
 
 @dataclass(slots=True, frozen=True)
 class MovedRun:
-    """Name where a stopped run goes on, and the memory from which it does."""
+    """Identify where a stopped run continues, and the memory that it continues from."""
 
     view: TargetView
     source: TargetView
     handle: str
 
     def address(self) -> bytes:
-        """Return the memory's address as requests name it."""
+        """Return the memory's address in the form that request headers use."""
         host, port = self.source.record.address
         return f"{host}:{port}/{self.handle}".encode()
 
 
 class Evacuation:
-    """Watch for targets that are taken away, and move this entry's streams off them."""
+    """Move this entry's streams off targets that are being removed."""
 
-    def __init__(self, state: EntryState, journeys: Collection["RequestHandler"]) -> None:
+    def __init__(self, state: EntryState, handlers: Collection["RequestHandler"]) -> None:
         self.state = state
-        self.handlers = journeys
-        # Targets that are emptied already, each in its lifetime.
+        self.handlers = handlers
+        # Targets whose evacuation has begun, by identity and start time.
         self.evacuated: set[tuple[str, int]] = set()
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Look at the targets whenever they have changed, for as long as the process runs."""
+        """Start the evacuation of leaving targets whenever the targets have changed."""
         while True:
             await self.state.targets_updated.wait()
             self.state.targets_updated.clear()
@@ -64,15 +64,15 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _evacuate(self, view: TargetView) -> None:
-        """Move the streams off a leaving target that won't end them."""
+        """Move the streams off a leaving target that will be gone before they end."""
         gone_in_ms = await self._remaining_ms(view)
         if gone_in_ms is None:
             return
         loop = asyncio.get_running_loop()
         end_s = loop.time() + gone_in_ms / 1000 - MIN_COPY_TIME_S
         streams = self._streams(view)
-        # Those with little memory first: they are copied soonest.
-        streams.sort(key=lambda each: each.handler.prompt.prompt_tokens)
+        # Shortest prompts first: their memory is copied fastest.
+        streams.sort(key=lambda attempt: attempt.handler.prompt.prompt_tokens)
         moved = 0
         for attempt in streams:
             if loop.time() >= end_s:
@@ -89,33 +89,33 @@
         )
 
     async def _remaining_ms(self, view: TargetView) -> int | None:
-        """Ask a leaving target when it will be gone; None if it ends what it runs."""
+        """Return a leaving target's remaining time; None if it finishes what it runs."""
         for _ in range(MAX_REPORT_REQUESTS):
             if not self._streams(view):
                 return None
             report = await self.state.dependencies.engines.report(view.record)
             if report and report.gone_in_ms is not None:
                 return report.gone_in_ms
-            # A report shows what held some hundred ms ago.
+            # Reports may lag behind by some hundred ms.
             await asyncio.sleep(REPORT_RETRY_DELAY_S)
         return None
 
     def _streams(self, view: TargetView) -> list["Attempt"]:
-        attempts = [journey.attempt for journey in self.handlers if journey.attempt]
-        return [each for each in attempts if each.view is view and each.first_token]
+        attempts = [handler.attempt for handler in self.handlers if handler.attempt]
+        return [attempt for attempt in attempts if attempt.view is view and attempt.first_token]
 
     def _destination(self, attempt: "Attempt") -> TargetView | None:
-        journey = attempt.handler
-        views = self.state.fleet.serving(journey.service)
+        handler = attempt.handler
+        views = self.state.fleet.serving(handler.service)
         holders = [
             view
             for view in views
-            if view is not attempt.view and view.holds(journey.prompt) and not view.health.resting()
+            if view is not attempt.view and view.holds(handler.prompt) and not view.health.resting()
         ]
-        engine = self._engine_spec(journey.service)
+        engine = self._engine_spec(handler.service)
         return choose_engine(
             holders,
-            journey.prompt,
+            handler.prompt,
             rank=MOVED_RANK,
             domain=attempt.view.record.failure_domain,
             kv_tokens=engine.kv_cache_tokens if engine else 0,
--- a/packages/daemon/src/mimosaspur_daemon/direct/prompts.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/prompts.py
@@ -1,4 +1,4 @@
-"""Read what a request says of the model that it is for."""
+"""Parse the headers that describe a request's model and prompt."""
 
 from mimosaspur_coordination.fleetview import Prompt
 from mimosaspur_transport.dialect import Dialect
@@ -7,30 +7,30 @@
 
 
 def read_prompt(headers: Headers, dialect: Dialect) -> Prompt:
-    """Return the prompt's description; what can't be read counts as not said."""
-    model, _, adapter = _text(headers, dialect.model).partition("/")
-    prompt_tokens, _, output_tokens = _text(headers, dialect.token_counts).partition(",")
+    """Return the prompt's description; treat malformed values as missing."""
+    model, _, adapter = _header_text(headers, dialect.model).partition("/")
+    prompt_tokens, _, output_tokens = _header_text(headers, dialect.token_counts).partition(",")
     return Prompt(
         model=model,
         adapter=adapter,
-        prompt_tokens=_number(prompt_tokens),
-        output_tokens=_number(output_tokens),
-        parts=_parts(_text(headers, dialect.prompt_prefix)),
+        prompt_tokens=_parse_number(prompt_tokens),
+        output_tokens=_parse_number(output_tokens),
+        parts=_parse_parts(_header_text(headers, dialect.prompt_prefix)),
     )
 
 
-def _parts(text: str) -> tuple[tuple[str, int], ...]:
+def _parse_parts(text: str) -> tuple[tuple[str, int], ...]:
     parts = []
     for part in filter(None, text.split(",")):
         identity, _, tokens = part.strip().partition(":")
-        parts.append((identity, _number(tokens)))
+        parts.append((identity, _parse_number(tokens)))
     return tuple(parts)
 
 
-def _text(headers: Headers, name: bytes) -> str:
+def _header_text(headers: Headers, name: bytes) -> str:
     return (header(headers, name) or b"").decode("latin-1").strip()
 
 
-def _number(text: str) -> int:
+def _parse_number(text: str) -> int:
     text = text.strip()
     return int(text) if text.isascii() and text.isdigit() else 0
--- a/packages/daemon/src/mimosaspur_daemon/direct/refusal.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/refusal.py
@@ -1,15 +1,15 @@
-"""End a request with an answer of our own."""
+"""Describe requests that end with an error response of the entry itself."""
 
 from mimosaspur_state.codes import CODE_TABLE
 from mimosaspur_state.codes import ResultCode
 
-# Callers honour a time to come back of up to this part of what they have left.
+# Callers honour a Retry-After of up to this share of their remaining time.
 MAX_RETRY_AFTER_SHARE = 1 / 3
 MIN_RETRY_AFTER_S = 0.05
 
 
 class RequestFailed(Exception):
-    """Say by which result a request ends, and when the caller may come back."""
+    """Raised when a request ends with an error of the entry, with an optional Retry-After."""
 
     def __init__(
         self, code: ResultCode, *, retry_after_s: float | None = None, detail: str = ""
@@ -26,5 +26,5 @@
 
 
 def bounded_retry_after_s(wanted_s: float, *, left_s: float) -> float:
-    """Return when a caller should come back: not so late that it would rather give up."""
+    """Return the Retry-After in seconds, limited to a time that the caller will wait for."""
     return round(max(MIN_RETRY_AFTER_S, min(wanted_s, left_s * MAX_RETRY_AFTER_SHARE)), 3)
--- a/packages/daemon/src/mimosaspur_daemon/direct/reportedwork.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/reportedwork.py
@@ -1,4 +1,4 @@
-"""Take this entry's own part off the work that all entries have at targets."""
+"""Subtract this entry's own work from the totals that the coordinator sends."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -7,52 +7,52 @@
 from mimosaspur_protocol.peermessages import WorkAt
 from mimosaspur_state.fleet import Work
 
-# Reports that weren't counted yet, at ten and more a second: a coordinator that counts none for so
-# many has long been given up.
+# Reports not yet included in the totals. At ten or more a second, a coordinator that falls this far
+# behind has long been replaced.
 MAX_PENDING_REPORTS = 256
 
 
 class ReportedWork:
-    """Keep what this entry has reported, and take it off the work that all entries have.
+    """Track this entry's reports and subtract the included one from the coordinator's totals.
 
-    The coordinator adds up the entries' last reports. What this entry has begun or ended since then
-    isn't in the sum: so just what was counted is taken off, not what the entry has now.
+    The totals are sums of the entries' last reports. Work begun or ended since isn't in them, so
+    exactly the report that was included must be subtracted, not the current work.
     """
 
-    __slots__ = ("own_in_totals", "included_number", "last_number", "pending_reports", "totals")
+    __slots__ = ("included_number", "last_number", "own_in_totals", "pending_reports", "totals")
 
     def __init__(self) -> None:
-        # Counts the reports.
+        # Number of the last report.
         self.last_number = 0
         self.pending_reports: deque[tuple[int, dict[str, WorkAt]]] = deque(
             maxlen=MAX_PENDING_REPORTS
         )
-        # All entries' work as it was last told.
+        # Work of all entries, as last received.
         self.totals: dict[str, WorkAt] = {}
-        # This entry's part in it, and the report that it is from.
+        # This entry's share of the totals, and the number of the report that it is from.
         self.own_in_totals: Mapping[str, WorkAt] = {}
         self.included_number = 0
 
     def reset(self) -> None:
-        """Forget what a coordinator has told that is no longer followed."""
+        """Discard the state received from a coordinator that is no longer followed."""
         self.pending_reports.clear()
         self.totals = {}
         self.own_in_totals = {}
 
     def add_report(self, work: Iterable[WorkAt]) -> int:
-        """Keep a report that is sent now; return its number."""
+        """Store a report that is being sent; return its number."""
         self.last_number += 1
         self.pending_reports.append((self.last_number, {each.target: each for each in work}))
         return self.last_number
 
     def set_included(self, number: int) -> None:
-        """Take note which report the sums that are told next count in."""
+        """Set the number of the report that the next totals include."""
         self.included_number = number
 
-    def apply_totals(self, told: Iterable[WorkAt]) -> dict[str, Work]:
-        """Take the sums that have changed; return the others' work where it may have changed."""
+    def apply_totals(self, updates: Iterable[WorkAt]) -> dict[str, Work]:
+        """Apply changed totals; return the other entries' work where it may have changed."""
         changed = set(self.own_in_totals)
-        for total in told:
+        for total in updates:
             self.totals[total.target] = total
             changed.add(total.target)
         while self.pending_reports and self.pending_reports[0][0] <= self.included_number:
@@ -61,7 +61,7 @@
         return {target: self.others_work_at(target) for target in changed}
 
     def others_work_at(self, target: str) -> Work:
-        """Return the others' work at a target."""
+        """Return the other entries' work at a target."""
         total = self.totals.get(target)
         if total is None:
             return Work()
--- a/packages/daemon/src/mimosaspur_daemon/direct/requesthandler.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/requesthandler.py
@@ -1,4 +1,4 @@
-"""Carry one request from its caller to targets and the answer back."""
+"""Forward one request to targets and the response to its caller."""
 
 import asyncio
 
@@ -28,47 +28,46 @@
 from mimosaspur_transport.httpchannel import AnswerHead
 from mimosaspur_transport.httpchannel import ChannelBroken
 
-# Targets are asked so often at most for one request, the refusals of targets included.
+# Limit on the targets tried for one request, including those that refuse it.
 MAX_OFFERS = 6
-# After each refusal a target is left alone longer, so that the offers last for a load that takes
-# longer than foreseen.
+# Cooldowns grow with each refusal, so that the offers outlast a model load that is slower than
+# predicted.
 COOLDOWN_GROWTH_FACTOR = 1.7
-# A process that ends cuts what it has not ended. So it takes only what would end in time if it
-# lasted so many times the longest that is expected: with one time, a stream was cut on one of 20
-# days.
+# A process that exits cuts off unfinished requests, so a leaving entry accepts only those that
+# would finish in time if they took this many times the longest expected duration.
 DURATION_SAFETY_FACTOR = 3.0
 
 
 class RequestHandler:
-    """Serve one request."""
+    """Handle one request, with retries at other targets."""
 
     __slots__ = (
         "attempt",
         "caller",
         "cause",
-        "quota_charged",
-        "strips_credential",
         "cutter",
         "deadline_s",
+        "done",
         "ended_by_shutdown",
         "failure",
         "first_ms",
-        "timeout",
+        "in_flight",
         "longest_pause_ms",
         "moved",
-        "done",
+        "outcome_unknown",
+        "possible_runs",
         "predicted_ms",
         "prompt",
-        "retries",
+        "quota_charged",
         "request",
+        "retries",
         "route",
-        "possible_runs",
-        "in_flight",
         "service",
         "started",
         "state",
+        "strips_credential",
         "target_selector",
-        "outcome_unknown",
+        "timeout",
         "waited_ms",
         "workspace",
     )
@@ -84,7 +83,7 @@
     ) -> None:
         self.state = state
         self.workspace = workspace
-        # What was taken for it from the workspace's quota.
+        # Cost taken from the workspace's quota.
         self.quota_charged = 0.0
         self.route = route
         self.service = service
@@ -94,7 +93,7 @@
         self.prompt = read_prompt(request.headers, dialect)
         self.deadline_s = request.arrived_s + self._time_limit_ms() / 1000
         configuration = state.configuration
-        # Whether a caller's key means something here, and so must not be passed on.
+        # Whether callers' keys are credentials here, which must not be forwarded.
         self.strips_credential = bool(configuration and configuration.workspaces is not None)
         self.target_selector = TargetSelector(
             state,
@@ -108,37 +107,37 @@
         )
         last_id = header(request.headers, dialect.last_event_id) or b""
         self.cutter = EventCutter(int(last_id) if last_id.isdigit() else None)
-        # Whether the caller has got the head of an answer.
+        # Whether the head of a response was sent to the caller.
         self.started = False
         self.retries = RequestRetries(
             state.retry_window(service), state.log, service=service, request=self.request_id()
         )
-        # Whether a target has it now.
+        # Whether the request is at a target now.
         self.in_flight = False
         self.timeout: asyncio.Timeout | None = None
-        # The attempt that runs now, and the stopped run that goes on next.
+        # The current attempt, and the stopped run to continue next.
         self.attempt: Attempt | None = None
         self.moved: MovedRun | None = None
-        # Whether nothing is sent for it any more.
+        # Whether the request has ended.
         self.done = False
-        # Whether it is ended because this process ends.
+        # Whether the request was ended because the process exits.
         self.ended_by_shutdown = False
-        # Attempts after which the request may have run.
+        # Number of attempts in which the request may have run.
         self.possible_runs = 0
         self.outcome_unknown = False
-        # For the log: from the caller's request to the last offer and to the first event, and what
-        # was predicted from the offer to the first event.
+        # For the log: times from the caller's request to the last offer and to the first event, and
+        # the predicted time from the offer to the first event.
         self.waited_ms = 0
         self.predicted_ms = 0
         self.first_ms = 0
         self.longest_pause_ms = 0
-        # Why the last attempt broke.
+        # Why the last attempt failed.
         self.cause = ""
-        # A target's own failure, to be passed on if nothing better comes.
+        # An error response of a target, forwarded if no other attempt succeeds.
         self.failure: tuple[AnswerHead, bytes] | None = None
 
     async def run(self) -> None:
-        """Answer the request; raise GivenUp with the answer of our own."""
+        """Answer the request; raise RequestFailed if no target's response can be forwarded."""
         self.retries.window.count_request()
         if self.prompt.model:
             self.state.record_demand(
@@ -159,16 +158,16 @@
                 self.state.drop_copy(self.moved.source.record, self.moved.handle)
 
     def request_id(self) -> str:
-        """Return the id that the caller gave the request."""
+        """Return the request ID set by the caller."""
         name = self.state.dependencies.dialect.request_id
         return (header(self.request.headers, name) or b"").decode("latin-1")
 
     def may_have_run(self) -> bool:
-        """Tell whether a target may have run the request, or runs it now."""
+        """Return whether a target may have run the request or is running it."""
         return self.started or self.outcome_unknown or self.in_flight or self.failure is not None
 
     def ends_in_time(self) -> bool:
-        """Tell whether the request will surely end before this process does."""
+        """Return whether the request is expected to finish before the process exits."""
         if not self.state.uses(Mechanism.LEAVING_TAKES):
             return False
         if self.route.kind is RouteKind.STREAM and not self.state.is_last_entry():
@@ -183,13 +182,13 @@
         return lasts_ms + self.target_selector.predicted_first_event_ms() <= left_ms
 
     def record_duration(self, began_s: float) -> None:
-        """Learn how long the request lasted since an engine's first event, or since it was sent."""
+        """Record the request's duration since an engine's first event, or since it was sent."""
         lasted_ms = (asyncio.get_running_loop().time() - began_s) * 1000
         tokens = self.prompt.output_tokens
         self.state.durations.learn(self.route.name, lasted_ms, tokens=tokens)
 
     def end_now(self) -> None:
-        """End the request at once, since this process ends."""
+        """End the request at once because the process exits."""
         if self.timeout and not self.timeout.expired():
             self.ended_by_shutdown = True
             self.timeout.reschedule(asyncio.get_running_loop().time())
@@ -236,7 +235,7 @@
         return await self.target_selector.next_target(resumed=self.started)
 
     def _returns_to_source(self, continued: MovedRun | None, result: AttemptResult) -> bool:
-        """Tell whether a stopped run that another target refused goes on where it ran."""
+        """Return whether a moved run that was refused continues at its source."""
         if continued is None or result is not AttemptResult.NOT_RUN:
             return False
         if continued.view is continued.source:
@@ -278,8 +277,8 @@
         finally:
             attempt.end()
             self.attempt = None
-            # A connection whose answer wasn't read to its end must not be used again, and closing
-            # it is what tells the target to stop.
+            # A connection with an unread response must not be reused, and closing it makes the
+            # target stop the run.
             if finished and channel.sent_all():
                 pool.give_back(channel)
             else:
@@ -287,7 +286,7 @@
         return result
 
     async def forward_response(self, head: AnswerHead, body: bytes) -> None:
-        """Send a target's whole answer to the caller."""
+        """Send a target's whole response to the caller."""
         self.started = True
         await self.caller.answer(
             head.status, end_to_end(head.headers), body, close=self.state.leaving
--- a/packages/daemon/src/mimosaspur_daemon/direct/requestretries.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/requestretries.py
@@ -1,11 +1,11 @@
-"""Count how often one request comes to targets, and take the repeats that this needs."""
+"""Count one request's attempts and take its retries from the service's budget."""
 
 from mimosaspur_coordination.limits.retrywindow import RetryWindow
 from mimosaspur_state.eventlog import EventLog
 
 
 class RequestRetries:
-    """Hold one request's arrivals at targets, and the repeats that were taken for them."""
+    """Track one request's attempts and the retries that were taken for them."""
 
     __slots__ = ("attempts", "log", "request", "service", "spent_at_ms", "window")
 
@@ -14,30 +14,30 @@
         self.log = log
         self.service = service
         self.request = request
-        # Each arrival but the first needs a repeat.
+        # Each attempt but the first needs a retry.
         self.attempts = 0
-        # When repeats were taken.
+        # Times at which retries were taken.
         self.spent_at_ms: list[int] = []
 
-    def spend(self, repeats: int, *, what: str) -> bool:
-        """Take repeats from what the service's bound allows, all or none; log the decision."""
-        granted = self.window.spend(repeats)
+    def spend(self, count: int, *, what: str) -> bool:
+        """Take retries from the service's budget, all or none; log the decision."""
+        granted = self.window.spend(count)
         if granted:
-            self.spent_at_ms += [self.window.clock.now_ms()] * repeats
+            self.spent_at_ms += [self.window.clock.now_ms()] * count
         self.log.write(
             "repeat",
             request=self.request,
             service=self.service,
             what=what,
-            repeats=repeats,
+            repeats=count,
             outcome="granted" if granted else "refused",
             window=self.window.state(),
         )
         return granted
 
     def refund_unused(self) -> None:
-        """Return what wasn't needed, now that the request has come to its last target."""
+        """Return unused retries to the budget after the last attempt."""
         unneeded = max(0, len(self.spent_at_ms) - max(0, self.attempts - 1))
-        # Kept are the last, which lie nearest to the arrivals.
+        # Return the oldest: the latest are closest to the attempts that used them.
         for spent_ms in self.spent_at_ms[:unneeded]:
             self.window.give_back(spent_ms)
--- a/packages/daemon/src/mimosaspur_daemon/direct/statusserver.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/statusserver.py
@@ -1,4 +1,4 @@
-"""Tell the balancer whether callers may be sent here, and scrapers the metrics."""
+"""Serve the readiness check and the metrics."""
 
 import asyncio
 
@@ -14,14 +14,14 @@
 
 
 class StatusServer:
-    """Answer the balancer's questions and those for metrics."""
+    """Answer readiness checks and metrics requests."""
 
     def __init__(self, state: EntryState) -> None:
         self.state = state
         self.servers: list[asyncio.Server] = []
 
     async def listen(self) -> None:
-        """Start to accept connections."""
+        """Start accepting connections."""
         loop = asyncio.get_running_loop()
 
         def protocol() -> asyncio.StreamReaderProtocol:
--- a/packages/daemon/src/mimosaspur_daemon/direct/targetheaders.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/targetheaders.py
@@ -1,4 +1,4 @@
-"""Put together the headers with which a request goes to a target."""
+"""Build the headers of a request to a target."""
 
 from typing import TYPE_CHECKING
 
@@ -10,24 +10,24 @@
 
 
 def target_headers(attempt: "Attempt") -> Headers:
-    """Return the caller's own headers that may be passed on, and the system's."""
-    journey = attempt.handler
-    dialect = journey.state.dependencies.dialect
+    """Return the caller's headers that may be forwarded, and the system's own."""
+    handler = attempt.handler
+    dialect = handler.state.dependencies.dialect
     replaced = dialect.reserved | {dialect.deadline_ms, dialect.workspace}
-    if journey.strips_credential:
+    if handler.strips_credential:
         replaced |= {dialect.credential}
-    if journey.started:
+    if handler.started:
         replaced |= {dialect.last_event_id}
-    headers = end_to_end(journey.request.headers, replaced)
-    left_ms = max(1, int((journey.deadline_s - attempt.sent_s) * 1000))
+    headers = end_to_end(handler.request.headers, replaced)
+    left_ms = max(1, int((handler.deadline_s - attempt.sent_s) * 1000))
     headers.append((dialect.deadline_ms, b"%d" % left_ms))
     headers.append((dialect.expected_identity, attempt.view.record.identity.encode()))
-    if journey.workspace:
-        headers.append((dialect.workspace, journey.workspace.name.encode()))
+    if handler.workspace:
+        headers.append((dialect.workspace, handler.workspace.name.encode()))
     if attempt.continued:
         headers.append((dialect.continued_from, attempt.continued.address()))
-    if journey.started and journey.cutter.last_id is not None:
-        headers.append((dialect.last_event_id, b"%d" % journey.cutter.last_id))
-    if journey.prompt.model:
+    if handler.started and handler.cutter.last_id is not None:
+        headers.append((dialect.last_event_id, b"%d" % handler.cutter.last_id))
+    if handler.prompt.model:
         headers.append((dialect.priority, b"%d" % attempt.rank))
     return headers
--- a/packages/daemon/src/mimosaspur_daemon/direct/targetselector.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/targetselector.py
@@ -1,4 +1,4 @@
-"""Find the target for a request, and wait for one while that makes sense."""
+"""Select the target for a request, and wait for one while it can still be in time."""
 
 import asyncio
 
@@ -17,30 +17,30 @@
 from mimosaspur_state.routes import ServiceSpec
 from mimosaspur_state.workspaces import Workspace
 
-# Callers leave a stream without a first event after the longest of these.
+# Callers abandon a stream without a first event after the longest of these.
 MIN_FIRST_EVENT_TIMEOUT_MS = 2_000
 FIRST_EVENT_TIMEOUT_OBJECTIVES = 4
 FIRST_EVENT_TIMEOUT_GAPS = 8
-# A waiting request looks again at least so often.
+# Maximum interval between checks of a waiting request.
 RECHECK_INTERVAL_S = 0.25
-# The least that a first token takes once a model is there.
+# Minimum time to the first token once a model is loaded.
 MIN_FIRST_TOKEN_S = 0.1
-# A target that has just refused a request, or failed it, isn't asked again for a while.
+# Delay before a target that refused or failed a request is tried again.
 NOT_RUN_COOLDOWN_S = 0.1
 FAILED_COOLDOWN_S = 0.1
 DEFAULT_RETRY_S = 0.5
 
 
 class TargetSelector:
-    """Choose one target after another for one request."""
+    """Select the targets for one request, one after another."""
 
     __slots__ = (
+        "cooldown_ends_s",
         "deadline_s",
-        "on_time_deadline_s",
         "first_event_deadline_s",
+        "on_time_deadline_s",
         "prompt",
         "rank",
-        "cooldown_ends_s",
         "resumed",
         "route",
         "service",
@@ -69,25 +69,25 @@
         self.prompt = prompt
         # Both on the event loop's clock.
         self.deadline_s = deadline_s
-        patience_ms = max(
+        timeout_ms = max(
             MIN_FIRST_EVENT_TIMEOUT_MS,
             FIRST_EVENT_TIMEOUT_OBJECTIVES * route.objective_ms,
             FIRST_EVENT_TIMEOUT_GAPS * route.gap_objective_ms,
         )
-        self.first_event_deadline_s = min(deadline_s, arrived_s + patience_ms / 1000)
+        self.first_event_deadline_s = min(deadline_s, arrived_s + timeout_ms / 1000)
         self.on_time_deadline_s = arrived_s + route.objective_ms / 1000
-        # The request's place in an engine's queue.
+        # The request's rank in engine queues.
         self.rank = self._rank()
         self.resumed = False
-        # Until when a target is left alone.
+        # By target, on the event loop's clock.
         self.cooldown_ends_s: dict[str, float] = {}
 
     def cool_down(self, view: TargetView, seconds: float) -> None:
-        """Leave a target alone for a while."""
+        """Exclude a target from selection for a while."""
         self.cooldown_ends_s[view.record.identity] = _now_s() + seconds
 
     async def next_target(self, *, resumed: bool = False) -> TargetView:
-        """Return the next target; raise GivenUp when there won't be one in time."""
+        """Return the next target; raise RequestFailed if none will be available in time."""
         self.resumed = resumed
         if self.spec is not None and self.spec.engine is not None and self.prompt.model:
             return await self._next_engine()
@@ -98,22 +98,22 @@
             await self._wait_for_cooldown()
 
     def has_other(self, view: TargetView) -> bool:
-        """Tell whether another target could take the request now."""
+        """Return whether another target could take the request now."""
         others = [
             each for each in self._available() if each is not view and not each.health.resting()
         ]
         return any(not self.prompt.model or each.holds(self.prompt) for each in others)
 
     def predicted_first_event_ms(self) -> float:
-        """Return when the first event is foreseen, 0 for a plain service."""
+        """Return the predicted time to the first event, 0 for a plain service."""
         if self.spec is None or self.spec.engine is None or not self.prompt.model:
             return 0.0
         holders = [view for view in self._available() if view.holds(self.prompt)]
-        foreseen = [view.first_token_ms(self.prompt, rank=self.rank) for view in holders]
-        return min(foreseen, default=float("inf"))
+        predicted = [view.first_token_ms(self.prompt, rank=self.rank) for view in holders]
+        return min(predicted, default=float("inf"))
 
     def remaining_s(self) -> float:
-        """Return the seconds that the request has left."""
+        """Return the seconds until the request's deadline."""
         return self.deadline_s - _now_s()
 
     def refusal(self, code: ResultCode, *, wanted_s: float = DEFAULT_RETRY_S) -> RequestFailed:
@@ -129,8 +129,8 @@
         state = self.state
         with self.state.waiting_for(self.prompt.model, self.prompt.adapter):
             while True:
-                patience_s = min(self.first_event_deadline_s, state.balancer_noticed_s)
-                left_s = patience_s - MIN_FIRST_TOKEN_S - _now_s()
+                wait_until_s = min(self.first_event_deadline_s, state.balancer_noticed_s)
+                left_s = wait_until_s - MIN_FIRST_TOKEN_S - _now_s()
                 expected_s = state.model_ready_in_ms.get(self.prompt.model, 0) / 1000
                 if left_s <= max(0.0, expected_s):
                     raise self.refusal(ResultCode.NO_READY_TARGET, wanted_s=expected_s or 1.0)
@@ -142,16 +142,16 @@
     def _choose(self) -> TargetView | None:
         """Choose an engine and the request's rank there.
 
-        A request that will be late anyway goes behind those that can still be on time: under
+        A request that will be late anyway ranks behind those that can still be on time: under
         overload the engines would otherwise serve every request late.
         """
-        # A model whose only engine can't be reached is soon loaded on another one.
-        awake = [view for view in self._available() if not view.health.resting()]
-        holders = [view for view in awake if view.holds(self.prompt)]
+        # If a model's only engine is unreachable, the model is soon loaded on another one.
+        available = [view for view in self._available() if not view.health.resting()]
+        holders = [view for view in available if view.holds(self.prompt)]
         engine = self.spec.engine if self.spec else None
         ranks = (RESUMED_RANK,) if self.resumed else (self._rank(), self._late_rank())
         over_s = 0.0
-        for number, rank in enumerate(ranks):
+        for index, rank in enumerate(ranks):
             view = choose_engine(
                 holders,
                 self.prompt,
@@ -161,7 +161,7 @@
             )
             if view is None:
                 return None
-            may_be_late = self.resumed or number > 0
+            may_be_late = self.resumed or index > 0
             limit_s = self.first_event_deadline_s if may_be_late else self.on_time_deadline_s
             over_s = _now_s() + view.first_token_ms(self.prompt, rank=rank) / 1000 - limit_s
             if over_s <= 0:
--- a/packages/daemon/src/mimosaspur_daemon/direct/taskstacks.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/taskstacks.py
@@ -1,23 +1,23 @@
-"""Tell where each task of a process waits, for whoever has to find out why it is stuck."""
+"""Summarize where the tasks of a process wait, to diagnose a stuck process."""
 
 import asyncio
 from types import FrameType
 
-# Frames of each task, the innermost ones, and tasks that are told; the rest is counted.
+# Limits on the innermost frames shown of each task, and on the distinct stacks shown.
 MAX_FRAMES = 4
 MAX_PLACES = 100
 
 
 def task_stacks() -> dict[str, object]:
-    """Return the fields of a log line with the running loop's tasks and their stacks."""
+    """Return log fields with the number of tasks and their distinct stacks."""
     tasks = asyncio.all_tasks()
-    # Many tasks wait at the same place: one line tells of all of them.
+    # Group tasks by stack: many wait at the same place.
     places: dict[str, int] = {}
     for task in tasks:
         place = " < ".join(_place(frame) for frame in reversed(task.get_stack(limit=MAX_FRAMES)))
         places[place] = places.get(place, 0) + 1
-    told = sorted(places.items(), key=lambda item: -item[1])[:MAX_PLACES]
-    return {"tasks": len(tasks), "places": [f"{count} x {place}" for place, count in told]}
+    shown = sorted(places.items(), key=lambda item: -item[1])[:MAX_PLACES]
+    return {"tasks": len(tasks), "places": [f"{count} x {place}" for place, count in shown]}
 
 
 def _place(frame: FrameType) -> str:
--- a/packages/daemon/src/mimosaspur_daemon/direct/workspacequota.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/workspacequota.py
@@ -1,4 +1,4 @@
-"""Find a request's workspace, and hold it to the workspace's quota."""
+"""Find a request's workspace and enforce the workspace's quota."""
 
 import asyncio
 import contextlib
@@ -19,14 +19,14 @@
 from mimosaspur_transport.callerconnection import CallerRequest
 from mimosaspur_transport.dialect import header_values
 
-# When a caller may come back whose key, or whose quota, another entry may know.
+# Retry-After for a caller whose key or quota another entry may know.
 OTHER_ENTRY_RETRY_S = 0.1
-# How long a request waits at a process that has just started until it is told of quotas.
+# Time for which requests to a newly started process wait for the first quotas.
 FIRST_QUOTAS_TIMEOUT_S = 0.4
 
 
 def authenticate(state: EntryState, route: Route, request: CallerRequest) -> Workspace | None:
-    """Return the workspace that a request comes for; raise GivenUp without one that is needed."""
+    """Return the workspace of a request; raise RequestFailed if a required one is missing."""
     configuration = state.configuration
     if configuration is None or configuration.workspaces is None:
         return None
@@ -39,13 +39,13 @@
     if workspace and (trusted_ms is None or age_ms <= trusted_ms):
         return workspace
     if digest and age_ms > state.settings.configuration_ms:
-        # The key may have been added or taken away since this entry last heard.
+        # The key may have been added or revoked since the configuration was last confirmed.
         raise RequestFailed(ResultCode.CONFIGURATION_OLD, retry_after_s=OTHER_ENTRY_RETRY_S)
     raise RequestFailed(ResultCode.UNKNOWN_CREDENTIAL)
 
 
 async def wait_for_first_quotas(state: EntryState, workspace: Workspace | None) -> None:
-    """Wait a little until a process that has just started is told what is left of quotas."""
+    """Wait briefly for the first quotas after a process start."""
     if workspace is None or workspace.quota is None or state.quotas.was_told():
         return
     with contextlib.suppress(TimeoutError):
@@ -53,36 +53,36 @@
             await state.quotas_received.wait()
 
 
-def charge_quota(journey: RequestHandler) -> None:
-    """Take a request's cost from its workspace's quota; raise GivenUp if it isn't covered."""
-    workspace = journey.workspace
+def charge_quota(handler: RequestHandler) -> None:
+    """Take a request's cost from its workspace's quota; raise RequestFailed if it exceeds it."""
+    workspace = handler.workspace
     if workspace is None or workspace.quota is None:
         return
-    cost = _cost(workspace.quota, journey.prompt)
+    cost = _cost(workspace.quota, handler.prompt)
     try:
-        wait_ms = journey.state.quotas.admit(workspace.name, cost)
+        wait_ms = handler.state.quotas.admit(workspace.name, cost)
     except QuotaUnknown:
-        raise journey.target_selector.refusal(
+        raise handler.target_selector.refusal(
             ResultCode.QUOTA_UNKNOWN, wanted_s=OTHER_ENTRY_RETRY_S
         ) from None
     if wait_ms:
-        journey.state.log.write(
+        handler.state.log.write(
             "over_quota",
-            request=journey.request_id(),
+            request=handler.request_id(),
             workspace=workspace.name,
             cost=cost,
             wait_ms=wait_ms,
-            quota=journey.state.quotas.state(workspace.name),
+            quota=handler.state.quotas.state(workspace.name),
         )
-        raise journey.target_selector.refusal(ResultCode.QUOTA_EXCEEDED, wanted_s=wait_ms / 1000)
-    journey.quota_charged = cost
+        raise handler.target_selector.refusal(ResultCode.QUOTA_EXCEEDED, wanted_s=wait_ms / 1000)
+    handler.quota_charged = cost
 
 
-def refund_unless_run(journey: RequestHandler) -> None:
-    """Return what was taken for a request that has surely not run."""
-    if journey.quota_charged and journey.workspace and not journey.may_have_run():
-        journey.state.quotas.give_back(journey.workspace.name, journey.quota_charged)
-    journey.quota_charged = 0.0
+def refund_unless_run(handler: RequestHandler) -> None:
+    """Refund the cost of a request that cannot have run."""
+    if handler.quota_charged and handler.workspace and not handler.may_have_run():
+        handler.state.quotas.give_back(handler.workspace.name, handler.quota_charged)
+    handler.quota_charged = 0.0
 
 
 def _cost(quota: Quota, prompt: Prompt) -> float:
