--- a/packages/daemon/src/mimosaspur_daemon/direct/attempt.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/attempt.py
@@ -87,7 +87,7 @@
         self.pending_move: asyncio.Future[MovedRun | None] | None = None
         self.rank = handler.target_selector.rank
         self.predicted_ms = view.first_token_ms(handler.prompt, rank=self.rank)
-        self.unread = view.begin(handler.prompt, rank=self.rank)
+        self.unread = view.on_sent(handler.prompt, rank=self.rank)
         self.sent_s = asyncio.get_running_loop().time()
         self.first_token = False
         self.first_token_s = 0.0
@@ -96,8 +96,8 @@
     def end(self) -> None:
         """Remove the request from the target's work."""
         if not self.first_token:
-            self.view.read(unread=self.unread, rank=self.rank)
-        self.view.end(self.handler.prompt)
+            self.view.on_prefill_end(unread=self.unread, rank=self.rank)
+        self.view.on_end(self.handler.prompt)
         self.ended = True
 
     async def move(self, to: TargetView) -> bool:
@@ -148,13 +148,13 @@
             if await self._was_moved():
                 return AttemptResult.MOVED
             handler.cause = str(error)
-            self.view.health.failed()
+            self.view.health.record_failure()
             return AttemptResult.BROKEN
         except TimeoutError:
             if asyncio.get_running_loop().time() >= handler.deadline_s:
                 raise
             handler.cause = "target timed out while another one was available"
-            self.view.health.failed()
+            self.view.health.record_failure()
             self.channel.close()
             return AttemptResult.BROKEN
 
@@ -207,10 +207,10 @@
         if head.status < 400 and not self._is_authentic(head):
             raise ChannelBroken("response is encoded or lacks the target's proof header")
         if head.status >= 500:
-            self.view.health.failed()
+            self.view.health.record_failure()
             handler.failure = (head, body)
             return AttemptResult.FAILED
-        self.view.health.succeeded()
+        self.view.health.record_success()
         if handler.started:
             raise ChannelBroken("target answered a resumed stream with a whole response")
         await handler.forward_response(head, body)
@@ -241,10 +241,10 @@
         if handler.cutter.begun:
             await handler.caller.send(handler.cutter.begun)
         await handler.caller.finish()
-        self.view.health.succeeded()
+        self.view.health.record_success()
         lasted_ms = (asyncio.get_running_loop().time() - self.first_token_s) * 1000
         if self.first_token:
-            self.view.lasted(lasted_ms)
+            self.view.record_stream(lasted_ms)
         handler.record_duration(self.first_token_s or self.sent_s)
         return AttemptResult.DONE
 
@@ -272,11 +272,11 @@
         now_s = self.first_token_s = asyncio.get_running_loop().time()
         self.handler.first_ms = round((now_s - self.handler.request.arrived_s) * 1000)
         took_ms = (now_s - self.sent_s) * 1000
-        self.view.read(unread=self.unread, rank=self.rank)
+        self.view.on_prefill_end(unread=self.unread, rank=self.rank)
         handler = self.handler
         if self.rank != LATE_RANK:
             # The wait of a late request depends on requests that arrive after it.
-            self.view.first_token(
+            self.view.on_first_token(
                 handler.prompt,
                 unread=self.unread,
                 predicted_ms=self.predicted_ms,
--- a/packages/daemon/src/mimosaspur_daemon/direct/attemptlog.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/attemptlog.py
@@ -44,6 +44,6 @@
         objective_ms=handler.route.objective_ms,
         longest_pause_ms=handler.longest_pause_ms,
         lasted_ms=round((asyncio.get_running_loop().time() - handler.request.arrived_s) * 1000),
-        at_target=view.requests(),
-        failing=round(view.health.failing_share(), 2),
+        at_target=view.request_count(),
+        failing=round(view.health.failure_share(), 2),
     )
--- a/packages/daemon/src/mimosaspur_daemon/direct/entryreport.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/entryreport.py
@@ -17,13 +17,13 @@
     work = [
         WorkAt(
             identity,
-            view.own.requests,
-            {rank: round(tokens) for rank, tokens in view.own.unread.items() if tokens >= 1},
-            view.own.held_tokens,
-            dict(view.own.by_model),
+            view.own_work.requests,
+            {rank: round(tokens) for rank, tokens in view.own_work.unread.items() if tokens >= 1},
+            view.own_work.held_tokens,
+            dict(view.own_work.by_model),
         )
         for identity, view in state.fleet.targets.items()
-        if view.own.requests
+        if view.own_work.requests
     ]
     asked = []
     for model in {*state.unreported_demand, *state.waiting}:
@@ -39,7 +39,7 @@
     state.unreported_adapter_requests.clear()
     waiting = list(state.waiting_adapters)
     number = state.reported_work.add_report(work)
-    spendings = state.quotas.report(number)
+    spendings = state.quotas.take_report(number)
     return EntryReport(
         instance,
         number,
@@ -48,7 +48,7 @@
         waiting,
         unreachable,
         asked_adapters,
-        paces_told(state.fleet.paces.news()),
+        paces_told(state.fleet.paces.take_changes()),
         state.leaving,
         state.version(),
         [SpentOf(each.workspace, each.spent, each.refused) for each in spendings],
--- a/packages/daemon/src/mimosaspur_daemon/direct/entrystate.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/entrystate.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from mimosaspur_coordination.durations import Durations
+from mimosaspur_coordination.durations import DurationEstimator
 from mimosaspur_coordination.fleetports import EnginePort
 from mimosaspur_coordination.fleetports import FleetStore
 from mimosaspur_coordination.fleetview import FleetView
-from mimosaspur_coordination.limits.partlease import PartLease
 from mimosaspur_coordination.limits.retrywindow import RetryWindow
+from mimosaspur_coordination.limits.sharelease import ShareLease
 from mimosaspur_coordination.quota.limiter import QuotaLimiter
 from mimosaspur_coordination.storefreshness import StoreFreshness
 from mimosaspur_coordination.workspaces.ranks import Priority
@@ -97,13 +97,13 @@
         self.configuration: Configuration | None = None
         self.fleet = FleetView(
             clock=self.clock,
-            learns_pace=self.uses(Mechanism.MODEL_PACE),
-            learns_queue=self.uses(Mechanism.QUEUE_PART),
+            adaptive_pace=self.uses(Mechanism.MODEL_PACE),
+            adaptive_queue=self.uses(Mechanism.QUEUE_PART),
         )
         self.pools: dict[str, ChannelPool] = {}
         self.retry_windows: dict[str, RetryWindow] = {}
         # This entry's share of the constant part of the retry budgets.
-        self.retry_share = PartLease(window_ms=settings.retries.window_ms, clock=SuspendClock())
+        self.retry_share = ShareLease(window_ms=settings.retries.window_ms, clock=SuspendClock())
         self.quotas = QuotaLimiter(settings.quotas, clock=self.clock)
         # Set once a coordinator has sent the remaining quotas.
         self.quotas_received = asyncio.Event()
@@ -140,7 +140,7 @@
         self.shutdown_deadline_s = float("inf")
         # Whether requests are no longer sent to targets because the process is about to exit.
         self.shutting_down = False
-        self.durations = Durations()
+        self.durations = DurationEstimator()
         # Dependencies that do not respond at present.
         self.unavailable: set[str] = set()
 
@@ -229,8 +229,8 @@
     def on_coordinator_lost(self) -> None:
         """Fall back to what this entry has observed itself."""
         self.reported_work.reset()
-        self.quotas.coordinator_lost()
-        self.fleet.coordinator_lost()
+        self.quotas.on_coordinator_lost()
+        self.fleet.on_coordinator_lost()
 
     def ready(self) -> bool:
         """Return whether callers may be sent here."""
--- a/packages/daemon/src/mimosaspur_daemon/direct/evacuation.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/evacuation.py
@@ -106,11 +106,13 @@
 
     def _destination(self, attempt: "Attempt") -> TargetView | None:
         handler = attempt.handler
-        views = self.state.fleet.serving(handler.service)
+        views = self.state.fleet.serving_targets(handler.service)
         holders = [
             view
             for view in views
-            if view is not attempt.view and view.holds(handler.prompt) and not view.health.resting()
+            if view is not attempt.view
+            and view.can_run(handler.prompt)
+            and not view.health.is_cooling_down()
         ]
         engine = self._engine_spec(handler.service)
         return choose_engine(
--- a/packages/daemon/src/mimosaspur_daemon/direct/requestretries.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/requestretries.py
@@ -21,7 +21,7 @@
 
     def spend(self, count: int, *, what: str) -> bool:
         """Take retries from the service's budget, all or none; log the decision."""
-        granted = self.window.spend(count)
+        granted = self.window.try_spend(count)
         if granted:
             self.spent_at_ms += [self.window.clock.now_ms()] * count
         self.log.write(
@@ -40,4 +40,4 @@
         unneeded = max(0, len(self.spent_at_ms) - max(0, self.attempts - 1))
         # Return the oldest: the latest are closest to the attempts that used them.
         for spent_ms in self.spent_at_ms[:unneeded]:
-            self.window.give_back(spent_ms)
+            self.window.refund(spent_ms)
--- a/packages/daemon/src/mimosaspur_daemon/direct/targetselector.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/targetselector.py
@@ -5,7 +5,7 @@
 from mimosaspur_coordination.fleetview import Prompt
 from mimosaspur_coordination.fleetview import TargetView
 from mimosaspur_coordination.targetchoice import choose_engine
-from mimosaspur_coordination.targetchoice import choose_plain
+from mimosaspur_coordination.targetchoice import choose_plain_target
 from mimosaspur_daemon.direct.entrystate import LATE_RANK
 from mimosaspur_daemon.direct.entrystate import RESUMED_RANK
 from mimosaspur_daemon.direct.entrystate import EntryState
@@ -92,7 +92,7 @@
         if self.spec is not None and self.spec.engine is not None and self.prompt.model:
             return await self._next_engine()
         while True:
-            view = choose_plain(self._available(), domain=self.state.settings.failure_domain)
+            view = choose_plain_target(self._available(), domain=self.state.settings.failure_domain)
             if view is not None:
                 return view
             await self._wait_for_cooldown()
@@ -100,15 +100,17 @@
     def has_other(self, view: TargetView) -> bool:
         """Return whether another target could take the request now."""
         others = [
-            each for each in self._available() if each is not view and not each.health.resting()
+            each
+            for each in self._available()
+            if each is not view and not each.health.is_cooling_down()
         ]
-        return any(not self.prompt.model or each.holds(self.prompt) for each in others)
+        return any(not self.prompt.model or each.can_run(self.prompt) for each in others)
 
     def predicted_first_event_ms(self) -> float:
         """Return the predicted time to the first event, 0 for a plain service."""
         if self.spec is None or self.spec.engine is None or not self.prompt.model:
             return 0.0
-        holders = [view for view in self._available() if view.holds(self.prompt)]
+        holders = [view for view in self._available() if view.can_run(self.prompt)]
         predicted = [view.first_token_ms(self.prompt, rank=self.rank) for view in holders]
         return min(predicted, default=float("inf"))
 
@@ -146,8 +148,8 @@
         overload the engines would otherwise serve every request late.
         """
         # If a model's only engine is unreachable, the model is soon loaded on another one.
-        available = [view for view in self._available() if not view.health.resting()]
-        holders = [view for view in available if view.holds(self.prompt)]
+        available = [view for view in self._available() if not view.health.is_cooling_down()]
+        holders = [view for view in available if view.can_run(self.prompt)]
         engine = self.spec.engine if self.spec else None
         ranks = (RESUMED_RANK,) if self.resumed else (self._rank(), self._late_rank())
         over_s = 0.0
@@ -177,7 +179,7 @@
 
     def _available(self) -> list[TargetView]:
         now_s = _now_s()
-        views = self.state.fleet.serving(self.service)
+        views = self.state.fleet.serving_targets(self.service)
         return [
             view for view in views if self.cooldown_ends_s.get(view.record.identity, 0) <= now_s
         ]
@@ -187,7 +189,7 @@
         return max(0.01, min([RECHECK_INTERVAL_S, *(end for end in ends if end > 0)]))
 
     async def _wait_for_cooldown(self) -> None:
-        serving = self.state.fleet.serving(self.service)
+        serving = self.state.fleet.serving_targets(self.service)
         if not serving or self.remaining_s() < RECHECK_INTERVAL_S:
             raise self.refusal(ResultCode.NO_READY_TARGET)
         await self.state.changes.wait(self._recheck_delay_s())
--- a/packages/daemon/src/mimosaspur_daemon/direct/workspacequota.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/workspacequota.py
@@ -34,7 +34,7 @@
     workspace = find_workspace(configuration, digest)
     if route.public:
         return workspace
-    age_ms = state.freshness.known_ms_ago(CONFIGURATION)
+    age_ms = state.freshness.confirmation_age_ms(CONFIGURATION)
     trusted_ms = state.settings.credentials_trusted_ms
     if workspace and (trusted_ms is None or age_ms <= trusted_ms):
         return workspace
@@ -46,7 +46,7 @@
 
 async def wait_for_first_quotas(state: EntryState, workspace: Workspace | None) -> None:
     """Wait briefly for the first quotas after a process start."""
-    if workspace is None or workspace.quota is None or state.quotas.was_told():
+    if workspace is None or workspace.quota is None or state.quotas.has_update():
         return
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(FIRST_QUOTAS_TIMEOUT_S):
@@ -81,7 +81,7 @@
 def refund_unless_run(handler: RequestHandler) -> None:
     """Refund the cost of a request that cannot have run."""
     if handler.quota_charged and handler.workspace and not handler.may_have_run():
-        handler.state.quotas.give_back(handler.workspace.name, handler.quota_charged)
+        handler.state.quotas.refund(handler.workspace.name, handler.quota_charged)
     handler.quota_charged = 0.0
 
 
