--- a/packages/daemon/src/mimosaspur_daemon/direct/coordinator.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/coordinator.py
@@ -3,13 +3,13 @@
 import asyncio
 
 from mimosaspur_coordination.adapterdemand import AdapterDemand
-from mimosaspur_coordination.limits.partlease import SharerCount
-from mimosaspur_coordination.loadrate import LoadRate
+from mimosaspur_coordination.limits.sharelease import SharerCount
 from mimosaspur_coordination.modeldemand import ModelDemand
 from mimosaspur_coordination.modelplacement import PlacementSearch
 from mimosaspur_coordination.orderlease import OrderLease
 from mimosaspur_coordination.placementproblem import PlacementProblem
 from mimosaspur_coordination.placementproblem import Swap
+from mimosaspur_coordination.weightloadlimiter import WeightLoadLimiter
 from mimosaspur_daemon.direct.adapterscheduler import AdapterScheduler
 from mimosaspur_daemon.direct.configurationexchange import ConfigurationExchange
 from mimosaspur_daemon.direct.enginecontroller import EngineController
@@ -63,8 +63,8 @@
         self.loaded_for_copy: set[str] = set()
         self.demand = ModelDemand(clock=self.clock)
         bounds = state.settings.orders
-        self.load_rate = LoadRate(bounds.load_window_ms, clock=self.clock)
-        self.load_rate.count(ASSUMED_RECENT_LOADS)
+        self.load_rate = WeightLoadLimiter(bounds.load_window_ms, clock=self.clock)
+        self.load_rate.record(ASSUMED_RECENT_LOADS)
         self.tasks: set[asyncio.Task[None]] = set()
         self.changed = asyncio.Event()
         self.engines = EngineRegistry(state, lease, on_change=self.changed.set)
@@ -157,7 +157,7 @@
 
     def step_down(self) -> None:
         """Announce to all entries that this instance gives no more orders."""
-        self.members.sharers.end()
+        self.members.sharers.stop()
         age_ms = self.lease.clock.now_ms() - self.lease.last_order_ms
         self.members.send(StepDown(max(0, age_ms)))
 
@@ -248,7 +248,7 @@
     def _stream_ms(self, service: str) -> float:
         if not self.state.uses(Mechanism.UNLOAD_WAITS):
             return 0.0
-        return self.state.fleet.speed_of(service).stream_ms.value
+        return self.state.fleet.prefill_speed(service).stream_ms.value
 
     def _idle(self) -> bool:
         """Return whether nothing has been requested since this instance began to coordinate."""
@@ -261,7 +261,7 @@
         if swap.for_copy:
             self.loaded_for_copy.add(swap.model)
         if swap.from_store:
-            self.load_rate.count()
+            self.load_rate.record()
         demand = self.demand.current(swap.model)
         self.state.log.write(
             "swap",
--- a/packages/daemon/src/mimosaspur_daemon/direct/election.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/election.py
@@ -64,7 +64,7 @@
         self.coordinator: Coordinator | None = None
         self.configuration_exchange = ConfigurationExchange(state)
         # Reset once the lease is proved, by this instance or another.
-        self.renewal_backoff = Backoff(first_ms=RENEWAL_RETRY_MS)
+        self.renewal_backoff = Backoff(initial_delay_ms=RENEWAL_RETRY_MS)
         # Consecutive reads of the lease that the store has refused.
         self.refused_renewals = 0
         # Whether this instance has stepped down, for as long as the process runs.
@@ -92,8 +92,8 @@
             except (StoreUnavailable, VersionConflict) as error:
                 if isinstance(error, StoreUnavailable) and self.lease.record:
                     await self._follow_last_known(self.lease.record)
-                self.backoff.failed()
-                await asyncio.sleep(max(MIN_RETRY_S, self.backoff.pause_s()))
+                self.backoff.record_failure()
+                await asyncio.sleep(max(MIN_RETRY_S, self.backoff.delay_s()))
 
     async def _follow_last_known(self, record: LeaseRecord) -> None:
         """Follow the last known coordinator: the store may be unreachable from here alone."""
@@ -121,7 +121,7 @@
         predecessor = self.lease.record.holder if self.lease.record else ""
         asked_ms = self.lease.clock.now_ms()
         record = await self.state.outside.store.write_lease(self.lease.next_record(self.address))
-        self.backoff.worked()
+        self.backoff.record_success()
         forgotten = self.lease.forgotten
         self.lease.taken(record, asked_ms=asked_ms, predecessor=predecessor)
         if self.predecessor_last_order_ms is not None and not forgotten:
@@ -170,9 +170,9 @@
                 await self._renew()
             else:
                 self.refused_renewals = 0
-                self.renewal_backoff.worked()
+                self.renewal_backoff.record_success()
             # Back off while renewals fail: each makes other entries call the store.
-            await asyncio.sleep(max(LEASE_CHECK_INTERVAL_S, self.renewal_backoff.pause_s()))
+            await asyncio.sleep(max(LEASE_CHECK_INTERVAL_S, self.renewal_backoff.delay_s()))
 
     async def _renew(self) -> None:
         asked_ms = self.lease.clock.now_ms()
@@ -180,13 +180,13 @@
             async with asyncio.timeout(RENEWAL_TIMEOUT_S):
                 record = await self.state.outside.store.read_lease()
         except StoreUnavailable:
-            self.renewal_backoff.failed()
+            self.renewal_backoff.record_failure()
             # Refused at once, perhaps only here: ask a few entries first, and all the next time.
             self.refused_renewals += 1
             self._request_proofs(everyone=self.refused_renewals > 1)
             return
         except TimeoutError:
-            self.renewal_backoff.failed()
+            self.renewal_backoff.record_failure()
             self._request_proofs(everyone=True)
             return
         proved = self.lease.proved()
@@ -241,11 +241,11 @@
                     return False
                 if isinstance(message, ReportCounted):
                     self.state.reported.count(message.number)
-                    self.state.quotas.count(message.spent)
+                    self.state.quotas.acknowledge(message.spent)
                 self.configuration_exchange.on_message(message, link)
                 if isinstance(message, FleetReport):
                     followed = True
-                    self.backoff.worked()
+                    self.backoff.record_success()
                     self.predecessor_last_order_ms = None
                     apply_report(self.state, message)
                     self.configuration_exchange.on_version(message.version, link)
--- a/packages/daemon/src/mimosaspur_daemon/direct/members.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/members.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 
 from mimosaspur_coordination.carrying import news_pause_s
-from mimosaspur_coordination.limits.partlease import SharerCount
+from mimosaspur_coordination.limits.sharelease import SharerCount
 from mimosaspur_coordination.modelpace import Pace
 from mimosaspur_coordination.modelpace import SharedPaces
 from mimosaspur_coordination.orderlease import OrderLease
@@ -84,7 +84,7 @@
         member.leaving = report.leaving
         self.quotas.apply_report(report, first=first)
         for message in report.paces:
-            self.paces.hear(message.model, Pace(message.factor, message.measurements))
+            self.paces.add_report(message.model, Pace(message.factor, message.measurements))
 
     def local_member(self, instance: str) -> Member:
         """Return the member for this instance's own entry."""
@@ -96,7 +96,7 @@
     def add(self, instance: str, member: Member) -> Member:
         """Add an entry that follows from now on."""
         self.members[instance] = member
-        self.sharers.joined(instance)
+        self.sharers.on_connect(instance)
         return member
 
     def remove(self, member: Member) -> None:
@@ -105,7 +105,7 @@
             if known is member:
                 entries = len(self.members)
                 del self.members[instance]
-                self.sharers.lost(instance)
+                self.sharers.on_disconnect(instance)
                 if not member.leaving:
                     self.quotas.on_entry_lost(
                         instance, entries=entries, last_report_ms=member.last_report_ms
@@ -198,7 +198,7 @@
             staying=sum(not each.leaving for each in self.members.values()),
             version=self.state.version(),
             quotas=quotas,
-            sharers=self.sharers.sharers() if lease.proved() else 0,
+            sharers=self.sharers.sharer_count() if lease.proved() else 0,
         )
 
     def _shareable_store_changes(self) -> StoreChanges | None:
@@ -219,7 +219,7 @@
         if now_ms - self.paces_sent_ms < PACES_INTERVAL_MS:
             return []
         self.paces_sent_ms = now_ms
-        changed = self.paces.news()
+        changed = self.paces.take_changes()
         if changed:
             factors = {model: round(pace.factor, 2) for model, pace in changed.items()}
             self.state.log.write("paces", factors=factors)
@@ -230,7 +230,7 @@
         if member.link is None:
             # This instance reads the store itself.
             self.state.reported.count(member.summed_number)
-            self.state.quotas.count(member.report_number)
+            self.state.quotas.acknowledge(member.report_number)
             apply_report(self.state, replace(reports.report(member.sent_state), store=None))
             member.sent_state = reports.state_after(member.sent_state)
             return 0
--- a/packages/daemon/src/mimosaspur_daemon/direct/quotaaccounting.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/quotaaccounting.py
@@ -33,29 +33,29 @@
         self.started_ms = state.clock.now_ms()
         limiter = state.quotas
         # How many entries the last coordinator reported, until missing ones are accounted for.
-        self.expected_entries = limiter.entries if limiter.was_told() else 0
-        self.predecessor_report_ms = limiter.told_ms
+        self.expected_entries = limiter.entries if limiter.has_update() else 0
+        self.predecessor_report_ms = limiter.last_update_ms
 
     def apply_report(self, report: EntryReport, *, first: bool) -> None:
         """Apply an entry's spending; its first report covers the time before it followed."""
         self._configure()
         spendings = [Spending(each.workspace, each.spent, each.refused) for each in report.quotas]
-        self.ledger.hear(report.instance, spendings, first=first)
+        self.ledger.record_spending(report.instance, spendings, first=first)
 
     def on_entry_lost(self, instance: str, *, entries: int, last_report_ms: int) -> None:
         """Account for an entry that no longer reports but may go on spending."""
         silent_ms = self.state.clock.now_ms() - last_report_ms
-        self.ledger.lose(instance, entries=entries, silent_ms=silent_ms)
+        self.ledger.on_disconnect(instance, entries=entries, silent_ms=silent_ms)
 
     def changed_remaining(self, members: int) -> list[RemainingOf]:
         """Return what remains of the quotas where entries assume another amount."""
         self._configure()
         self._reserve_for_missing(members)
-        return _to_messages(self.ledger.news())
+        return _to_messages(self.ledger.take_updates())
 
     def all_remaining(self) -> list[RemainingOf]:
         """Return what remains of all quotas."""
-        return _to_messages(self.ledger.all())
+        return _to_messages(self.ledger.snapshot())
 
     def _configure(self) -> None:
         configuration = self.state.configuration
@@ -64,7 +64,7 @@
         self.version = configuration.version
         limiter = self.state.quotas
         self.ledger.configure(
-            configuration.workspaces or (), limiter.accounts, told_ms=limiter.told_ms
+            configuration.workspaces or (), limiter.accounts, last_update_ms=limiter.last_update_ms
         )
 
     def _reserve_for_missing(self, members: int) -> None:
@@ -76,7 +76,7 @@
         if missing > 0:
             window_ms = self.state.settings.quotas.window_ms
             silent_ms = min(window_ms, now_ms - self.predecessor_report_ms)
-            self.ledger.miss(missing, entries=self.expected_entries, silent_ms=silent_ms)
+            self.ledger.reserve_missing(missing, entries=self.expected_entries, silent_ms=silent_ms)
         self.expected_entries = 0
 
 
--- a/packages/daemon/src/mimosaspur_daemon/direct/storechanges.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/storechanges.py
@@ -37,7 +37,7 @@
     def shareable(self) -> bool:
         """Return whether other entries may rely on this instance's store data."""
         on = self.state.uses(Mechanism.STORE_READER)
-        return on and self.state.freshness.may_tell((TARGETS, CONFIGURATION))
+        return on and self.state.freshness.may_share((TARGETS, CONFIGURATION))
 
     def changes_since(self, number: int) -> StoreNews:
         """Return the changes since a change number, all targets if more than one is missing."""
@@ -57,7 +57,7 @@
     if changes.revision < state.fleet.revision:
         return
     state.log.counters.observe("store_news_age_ms", changes.age_ms)
-    state.freshness.tell(age_ms=changes.age_ms)
+    state.freshness.confirm_by_coordinator(age_ms=changes.age_ms)
     state.fleet.revision = changes.revision
     records = {message.identity: _to_record(message) for message in changes.targets}
     if changes.whole:
--- a/packages/daemon/src/mimosaspur_daemon/direct/storewatch.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/storewatch.py
@@ -4,9 +4,9 @@
 
 from mimosaspur_coordination.backoff import Backoff
 from mimosaspur_coordination.fleetports import ConfigurationChange
-from mimosaspur_coordination.storefreshness import CONFIGURATION_WAIT_PART
-from mimosaspur_coordination.storefreshness import TARGETS_PAUSE_PART
-from mimosaspur_coordination.storefreshness import TARGETS_WAIT_PART
+from mimosaspur_coordination.storefreshness import CONFIGURATION_WATCH_SHARE
+from mimosaspur_coordination.storefreshness import TARGETS_PAUSE_SHARE
+from mimosaspur_coordination.storefreshness import TARGETS_WATCH_SHARE
 from mimosaspur_daemon.direct.entrystate import EntryState
 from mimosaspur_daemon.direct.storechanges import CONFIGURATION
 from mimosaspur_daemon.direct.storechanges import TARGETS
@@ -45,7 +45,7 @@
     def __init__(self, kind: str, state: EntryState) -> None:
         self.kind = kind
         self.state = state
-        self.list_backoff = Backoff(longest_ms=MAX_LIST_BACKOFF_MS, free=0)
+        self.list_backoff = Backoff(max_delay_ms=MAX_LIST_BACKOFF_MS, undelayed_failures=0)
         # While lists work, little is missed between two watches that fail.
         self.watch_backoff = Backoff()
         # Consecutive failed watches.
@@ -53,7 +53,7 @@
 
     async def pause(self, *, watched: bool) -> None:
         """Wait after a failed list or watch."""
-        await asyncio.sleep((self.watch_backoff if watched else self.list_backoff).pause_s())
+        await asyncio.sleep((self.watch_backoff if watched else self.list_backoff).delay_s())
 
     def failed(self, error: Exception, *, watched: bool) -> bool:
         """Record a failed list or watch; return whether the store may have been unreachable.
@@ -61,7 +61,7 @@
         It may have been if a list fails, or a watch after one that worked. Watches that keep
         failing while lists work show nothing new.
         """
-        (self.watch_backoff if watched else self.list_backoff).failed()
+        (self.watch_backoff if watched else self.list_backoff).record_failure()
         first = not self.failed_watches
         self.failed_watches += watched
         if isinstance(error, RevisionTooOld):
@@ -74,14 +74,14 @@
 
     def list_succeeded(self) -> None:
         """Record a successful list, which doesn't show that watches work."""
-        self.list_backoff.worked()
+        self.list_backoff.record_success()
         if self.failed_watches < 2:
             self._log_recovery()
 
     def watch_succeeded(self) -> None:
         """Record a successful watch."""
-        self.watch_backoff.worked()
-        self.list_backoff.worked()
+        self.watch_backoff.record_success()
+        self.list_backoff.record_success()
         self.failed_watches = 0
         self._log_recovery()
 
@@ -150,7 +150,7 @@
             self.configuration_status.list_succeeded()
         else:
             change = await self.store.watch_configuration(
-                revision, wait_ms=self._wait_ms(CONFIGURATION_WAIT_PART)
+                revision, wait_ms=self._wait_ms(CONFIGURATION_WATCH_SHARE)
             )
             asked_ms = self.state.clock.now_ms()
             self.configuration_status.watch_succeeded()
@@ -165,18 +165,18 @@
         """Return whether the coordinator reads the store for this entry."""
         if self.state.coordinating or not self.state.targets_known:
             return False
-        return self.state.configuration is not None and self.state.freshness.told_lately()
+        return self.state.configuration is not None and self.state.freshness.coordinator_is_fresh()
 
     def _must_read_newer(self) -> bool:
         """Return whether to read a newer configuration that the coordinator has announced."""
-        if self.state.freshness.version <= self.state.version():
+        if self.state.freshness.coordinator_version <= self.state.version():
             return False
         # The coordinator also sends it, which saves the store a call from each entry.
         waits = self.state.uses(Mechanism.PEER_CONFIGURATION)
-        return not waits or self.state.freshness.newer_for_ms() >= PEER_CONFIGURATION_WAIT_MS
+        return not waits or self.state.freshness.version_age_ms() >= PEER_CONFIGURATION_WAIT_MS
 
     def _pause_s(self) -> float:
-        part = TARGETS_PAUSE_PART if self.state.coordinating else WATCH_PAUSE_SHARE
+        part = TARGETS_PAUSE_SHARE if self.state.coordinating else WATCH_PAUSE_SHARE
         return self.state.settings.drain_ms * part / 1000
 
     def _wait_ms(self, part: float) -> int:
@@ -208,7 +208,9 @@
         return listing.revision
 
     async def _watch_targets(self, revision: int) -> int:
-        changes = await self.store.watch_targets(revision, wait_ms=self._wait_ms(TARGETS_WAIT_PART))
+        changes = await self.store.watch_targets(
+            revision, wait_ms=self._wait_ms(TARGETS_WATCH_SHARE)
+        )
         self.target_status.watch_succeeded()
         lapsing = self.state.clock.now_ms() < self.grace_until_ms
         removed = [] if lapsing else list(changes.removed)
