--- a/packages/daemon/src/mimosaspur_daemon/direct/adapterscheduler.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/adapterscheduler.py
@@ -64,7 +64,7 @@
         placement = self._placement(spec, controllers)
         started = False
         for engine in placement.engines:
-            move = placement.ahead(engine, names)
+            move = placement.preload(engine, names)
             if move:
                 started = True
                 self._start_move(controllers, move, spec, waiting=False)
--- a/packages/daemon/src/mimosaspur_daemon/direct/coordinator.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/coordinator.py
@@ -175,7 +175,7 @@
 
     def _apply_proof(self, answer: ProofAnswer) -> None:
         if answer.reached_store:
-            self.lease.proved_by_other(
+            self.lease.confirm_from_peer(
                 holder=answer.holder, token=answer.token, asked_ms=answer.asked_ms
             )
             return
@@ -184,7 +184,7 @@
             return
         agreed.add(answer.instance)
         if agreed >= self.required_proofs:
-            self.lease.extended(asked_ms=answer.asked_ms)
+            self.lease.extend_during_outage(asked_ms=answer.asked_ms)
 
     def _run_round(self) -> None:
         self.engines.update()
@@ -192,7 +192,7 @@
         if not self.lease.may_order():
             return
         self.engines.running = self.members.running()
-        self.demand.wait(self.members.waiting())
+        self.demand.update_waiting(self.members.waiting())
         for service, spec in self.engines.services():
             self._place(service, spec)
 
@@ -238,11 +238,11 @@
             spec,
             self.engines.snapshots(service),
             {model: self.demand.current(model) for model in spec.models},
-            store_free=self.load_rate.allows(spec.loads_per_s),
+            store_load_allowed=self.load_rate.allows(spec.loads_per_s),
             idle=self._idle(),
-            copied=self.loaded_for_copy,
+            preloaded=self.loaded_for_copy,
             stream_ms=self._stream_ms(service),
-            spares_copies=self.state.uses(Mechanism.LAST_COPY),
+            protect_last_copies=self.state.uses(Mechanism.LAST_COPY),
         )
 
     def _stream_ms(self, service: str) -> float:
@@ -253,7 +253,7 @@
     def _idle(self) -> bool:
         """Return whether nothing has been requested since this instance began to coordinate."""
         early = self.clock.now_ms() - self.started_ms < IDLE_GRACE_MS
-        return not early and not self.demand.asked()
+        return not early and not self.demand.any_requested()
 
     def _start_swap(self, swap: Swap) -> None:
         controller = self.engines.controllers[swap.identity]
@@ -287,7 +287,7 @@
             requested=any(self._requested(victim) for victim in swap.victims),
         )
         controller.from_store = False
-        if done and swap.for_copy and not self.demand.current(swap.model).last_ms:
+        if done and swap.for_copy and not self.demand.current(swap.model).last_request_ms:
             await self._restore_victims(controller, swap)
         self.state.log.write("swapped", target=swap.identity, model=swap.model, done=done)
 
--- a/packages/daemon/src/mimosaspur_daemon/direct/election.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/election.py
@@ -4,7 +4,7 @@
 import contextlib
 import random
 
-from mimosaspur_coordination import carrying
+from mimosaspur_coordination import coordinatorcapacity
 from mimosaspur_coordination.backoff import Backoff
 from mimosaspur_coordination.fleetports import LeaseRecord
 from mimosaspur_coordination.orderlease import OrderLease
@@ -83,9 +83,11 @@
         while True:
             asked_ms = self.lease.clock.now_ms()
             try:
-                self.lease.seen(await self.state.outside.store.read_lease(), asked_ms=asked_ms)
+                self.lease.update_from_store(
+                    await self.state.outside.store.read_lease(), asked_ms=asked_ms
+                )
                 record = self.lease.record
-                if record is None or self.lease.held():
+                if record is None or self.lease.is_holder():
                     await self._take_over()
                 elif record.restored or not await self._follow(record.address):
                     await self._contend(record.token)
@@ -97,7 +99,7 @@
 
     async def _follow_last_known(self, record: LeaseRecord) -> None:
         """Follow the last known coordinator: the store may be unreachable from here alone."""
-        if not self.lease.held():
+        if not self.lease.is_holder():
             await self._follow(record.address)
 
     def step_down(self) -> None:
@@ -122,10 +124,10 @@
         asked_ms = self.lease.clock.now_ms()
         record = await self.state.outside.store.write_lease(self.lease.next_record(self.address))
         self.backoff.record_success()
-        forgotten = self.lease.forgotten
-        self.lease.taken(record, asked_ms=asked_ms, predecessor=predecessor)
+        forgotten = self.lease.record_lost
+        self.lease.acquire(record, asked_ms=asked_ms, predecessor=predecessor)
         if self.predecessor_last_order_ms is not None and not forgotten:
-            self.lease.released_by_predecessor(last_order_ms=self.predecessor_last_order_ms)
+            self.lease.on_predecessor_release(last_order_ms=self.predecessor_last_order_ms)
             self.predecessor_last_order_ms = None
         self.state.log.always("coordinating", token=record.token, predecessor=predecessor)
         await self._coordinate()
@@ -133,12 +135,12 @@
 
     async def _lease_still_free(self) -> bool:
         """Leave a lease that nobody ever held to larger instances; return whether it is free."""
-        stand_back_s = carrying.stand_back_s(self.state.settings)
+        stand_back_s = coordinatorcapacity.candidacy_delay_s(self.state.settings)
         if not stand_back_s:
             return True
         await asyncio.sleep(stand_back_s)
         asked_ms = self.lease.clock.now_ms()
-        self.lease.seen(await self.state.outside.store.read_lease(), asked_ms=asked_ms)
+        self.lease.update_from_store(await self.state.outside.store.read_lease(), asked_ms=asked_ms)
         return self.lease.record is None
 
     async def _coordinate(self) -> None:
@@ -161,7 +163,7 @@
 
     async def _hold_lease(self, tasks: list[asyncio.Task[None]]) -> None:
         """Renew the proof of the lease until it is lost or this instance steps down."""
-        while self.lease.held() and not self.has_stepped_down:
+        while self.lease.is_holder() and not self.has_stepped_down:
             for task in tasks:
                 if task.done():
                     # These tasks never return: raise the error that ended one.
@@ -189,9 +191,9 @@
             self.renewal_backoff.record_failure()
             self._request_proofs(everyone=True)
             return
-        proved = self.lease.proved()
-        self.lease.seen(record, asked_ms=asked_ms)
-        if self.lease.forgotten and proved:
+        proved = self.lease.is_confirmed()
+        self.lease.update_from_store(record, asked_ms=asked_ms)
+        if self.lease.record_lost and proved:
             await self._reclaim()
         if self.coordinator:
             self.coordinator.on_lease_read()
@@ -207,7 +209,7 @@
         except (StoreUnavailable, VersionConflict, TimeoutError) as error:
             self.state.log.always("lease_lost", error=repr(error))
             return
-        self.lease.reclaimed(record, asked_ms=asked_ms)
+        self.lease.reclaim(record, asked_ms=asked_ms)
         self.state.log.always("lease_reclaimed", token=record.token)
 
     def _request_proofs(self, *, everyone: bool) -> None:
@@ -274,7 +276,7 @@
     async def _contend(self, token: int) -> None:
         # The wait lets a holder that was only restarted take its lease back first.
         wait_s = self._contend_delay_s() + random.random() * CONTEND_JITTER_S
-        wait_s += carrying.stand_back_s(self.state.settings)
+        wait_s += coordinatorcapacity.candidacy_delay_s(self.state.settings)
         end_s = asyncio.get_running_loop().time() + wait_s
         record = self.lease.record
         while (remaining_s := end_s - asyncio.get_running_loop().time()) > 0:
--- a/packages/daemon/src/mimosaspur_daemon/direct/engineregistry.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/engineregistry.py
@@ -74,7 +74,7 @@
             recent=controller.recent_models(),
             in_memory=controller.in_memory,
             on_disk=controller.on_disk,
-            kept_free=controller.reserved_models(),
+            reserved_models=controller.reserved_models(),
         )
 
     def _update_controller(self, controller: EngineController | None, record: TargetRecord) -> None:
--- a/packages/daemon/src/mimosaspur_daemon/direct/trackedengine.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/trackedengine.py
@@ -167,7 +167,7 @@
 
     async def _send_once(self, order: EngineOrder, attempt: int) -> OrderOutcome | None:
         """Send an order once; return its outcome, None if it should be sent again."""
-        self.lease.ordered()
+        self.lease.record_order()
         outcome = await self.port.order(self.record, order)
         self._log_order(order, outcome)
         if outcome is OrderOutcome.ACCEPTED:
