--- a/packages/daemon/src/mimosaspur_daemon/direct/election.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/election.py
@@ -84,7 +84,7 @@
             asked_ms = self.lease.clock.now_ms()
             try:
                 self.lease.update_from_store(
-                    await self.state.outside.store.read_lease(), asked_ms=asked_ms
+                    await self.state.dependencies.store.read_lease(), asked_ms=asked_ms
                 )
                 record = self.lease.record
                 if record is None or self.lease.is_holder():
@@ -122,7 +122,9 @@
             return
         predecessor = self.lease.record.holder if self.lease.record else ""
         asked_ms = self.lease.clock.now_ms()
-        record = await self.state.outside.store.write_lease(self.lease.next_record(self.address))
+        record = await self.state.dependencies.store.write_lease(
+            self.lease.next_record(self.address)
+        )
         self.backoff.record_success()
         forgotten = self.lease.record_lost
         self.lease.acquire(record, asked_ms=asked_ms, predecessor=predecessor)
@@ -140,7 +142,9 @@
             return True
         await asyncio.sleep(stand_back_s)
         asked_ms = self.lease.clock.now_ms()
-        self.lease.update_from_store(await self.state.outside.store.read_lease(), asked_ms=asked_ms)
+        self.lease.update_from_store(
+            await self.state.dependencies.store.read_lease(), asked_ms=asked_ms
+        )
         return self.lease.record is None
 
     async def _coordinate(self) -> None:
@@ -159,7 +163,7 @@
             self.state.coordinating = False
             for task in tasks:
                 task.cancel()
-            self.state.coordinator_lost()
+            self.state.on_coordinator_lost()
 
     async def _hold_lease(self, tasks: list[asyncio.Task[None]]) -> None:
         """Renew the proof of the lease until it is lost or this instance steps down."""
@@ -180,7 +184,7 @@
         asked_ms = self.lease.clock.now_ms()
         try:
             async with asyncio.timeout(RENEWAL_TIMEOUT_S):
-                record = await self.state.outside.store.read_lease()
+                record = await self.state.dependencies.store.read_lease()
         except StoreUnavailable:
             self.renewal_backoff.record_failure()
             # Refused at once, perhaps only here: ask a few entries first, and all the next time.
@@ -203,7 +207,7 @@
         asked_ms = self.lease.clock.now_ms()
         try:
             async with asyncio.timeout(RENEWAL_TIMEOUT_S):
-                record = await self.state.outside.store.write_lease(
+                record = await self.state.dependencies.store.write_lease(
                     self.lease.next_record(self.address)
                 )
         except (StoreUnavailable, VersionConflict, TimeoutError) as error:
@@ -242,7 +246,7 @@
                     self.predecessor_stepped_down = followed
                     return False
                 if isinstance(message, ReportCounted):
-                    self.state.reported.count(message.number)
+                    self.state.reported_work.set_included(message.number)
                     self.state.quotas.acknowledge(message.spent)
                 self.configuration_exchange.on_message(message, link)
                 if isinstance(message, FleetReport):
@@ -261,14 +265,14 @@
             link.close()
             # The store data that it sent keeps its age: the next coordinator is likely to be
             # elected before that data is stale.
-            self.state.coordinator_lost()
+            self.state.on_coordinator_lost()
 
     async def _answer_proof_request(self, link: PeerLink, request: ProofRequest) -> None:
         instance = self.state.settings.instance
         answer = ProofAnswer(instance, request.asked_ms, False, "", 0)
         with contextlib.suppress(StoreUnavailable, TimeoutError):
             async with asyncio.timeout(RENEWAL_TIMEOUT_S):
-                record = await self.state.outside.store.read_lease()
+                record = await self.state.dependencies.store.read_lease()
             holder, token = (record.holder, record.token) if record else ("", 0)
             answer = ProofAnswer(instance, request.asked_ms, True, holder, token)
         link.send(answer)
@@ -281,7 +285,7 @@
         record = self.lease.record
         while (remaining_s := end_s - asyncio.get_running_loop().time()) > 0:
             await asyncio.sleep(min(remaining_s, LEASE_POLL_S))
-            record = await self.state.outside.store.read_lease()
+            record = await self.state.dependencies.store.read_lease()
             if record is None or record.token != token:
                 break
         self.lease.record = record
@@ -306,8 +310,8 @@
         await asyncio.sleep(MIN_REPORT_INTERVAL_S)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(REPORT_INTERVAL_S):
-                await self.state.report_now.wait()
-        self.state.report_now.clear()
+                await self.state.report_requested.wait()
+        self.state.report_requested.clear()
 
     async def _serve_link(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         link = PeerLink(reader, writer)
--- a/packages/daemon/src/mimosaspur_daemon/direct/engineregistry.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/engineregistry.py
@@ -88,7 +88,7 @@
             return
         self.controllers[record.identity] = EngineController(
             record,
-            port=self.state.outside.engines,
+            port=self.state.dependencies.engines,
             lease=self.lease,
             clock=self.state.clock,
             log=self.state.log,
--- a/packages/daemon/src/mimosaspur_daemon/direct/fleetreport.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/fleetreport.py
@@ -64,20 +64,20 @@
 
 def apply_report(state: EntryState, report: FleetReport) -> None:
     """Apply the coordinator's report to an entry's state of the fleet."""
-    if report.sharers != state.retry_part.sharers:
+    if report.sharers != state.retry_share.sharers:
         state.log.write("sharers", sharers=report.sharers, token=report.token)
-    state.retry_part.renew(report.sharers)
-    state.staying = report.staying
+    state.retry_share.renew(report.sharers)
+    state.staying_entries = report.staying
     state.freshness.record_version(report.version)
     remaining = [
         Remaining(message.workspace, message.content, message.asked_per_s)
         for message in report.quotas
     ]
     state.quotas.apply_update(remaining, entries=report.entries)
-    state.quotas_told.set()
+    state.quotas_received.set()
     if report.store:
         apply_store_changes(state, report.store)
-    for target, others in state.reported.others(report.work).items():
+    for target, others in state.reported_work.apply_totals(report.work).items():
         view = state.fleet.targets.get(target)
         if view:
             view.others_work = others
@@ -86,6 +86,6 @@
         state.fleet.set_residents(each.target, models, frozenset(each.closing))
     for message in report.paces:
         state.fleet.paces.apply_shared(message.model, Pace(message.factor, message.measurements))
-    state.expected_ms = report.expected
+    state.model_ready_in_ms = report.expected
     if report.work or report.residents or report.expected:
         state.changes.notify()
--- a/packages/daemon/src/mimosaspur_daemon/direct/members.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/members.py
@@ -229,7 +229,7 @@
         """Send one member its update; return the bytes sent on a link."""
         if member.link is None:
             # This instance reads the store itself.
-            self.state.reported.count(member.summed_number)
+            self.state.reported_work.set_included(member.summed_number)
             self.state.quotas.acknowledge(member.report_number)
             apply_report(self.state, replace(reports.report(member.sent_state), store=None))
             member.sent_state = reports.state_after(member.sent_state)
--- a/packages/daemon/src/mimosaspur_daemon/direct/storechanges.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/storechanges.py
@@ -61,9 +61,9 @@
     state.fleet.revision = changes.revision
     records = {message.identity: _to_record(message) for message in changes.targets}
     if changes.whole:
-        state.targets_changed(state.fleet.replace(records))
+        state.on_targets_changed(state.fleet.replace(records))
     elif records or changes.gone:
-        state.targets_changed(state.fleet.update(records.values(), changes.gone))
+        state.on_targets_changed(state.fleet.update(records.values(), changes.gone))
 
 
 def _to_message(record: TargetRecord) -> TargetTold:
--- a/packages/daemon/src/mimosaspur_daemon/direct/storewatch.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/storewatch.py
@@ -66,8 +66,8 @@
         self.failed_watches += watched
         if isinstance(error, RevisionTooOld):
             return False
-        if self.kind not in self.state.lost:
-            self.state.lost.add(self.kind)
+        if self.kind not in self.state.unavailable:
+            self.state.unavailable.add(self.kind)
             what = f"store: {self.kind}"
             self.state.log.always("dependency_lost", what=what, error=str(error))
         return first or not watched
@@ -86,8 +86,8 @@
         self._log_recovery()
 
     def _log_recovery(self) -> None:
-        if self.kind in self.state.lost:
-            self.state.lost.discard(self.kind)
+        if self.kind in self.state.unavailable:
+            self.state.unavailable.discard(self.kind)
             self.state.log.always("dependency_regained", what=f"store: {self.kind}")
 
 
@@ -96,7 +96,7 @@
 
     def __init__(self, state: EntryState) -> None:
         self.state = state
-        self.store = state.outside.store
+        self.store = state.dependencies.store
         self.target_status = WatchStatus(TARGETS, state)
         self.configuration_status = WatchStatus(CONFIGURATION, state)
         # Until when missing registrations may return, 0 if none are expected.
@@ -201,7 +201,7 @@
             self.grace_until_ms = now_ms + REREGISTRATION_GRACE_MS
         # While the store is unreachable, registrations expire although the targets live.
         keep = self.state.fleet.targets if now_ms < self.grace_until_ms else ()
-        self.state.targets_changed(self.state.fleet.replace(listing.targets, keep=keep))
+        self.state.on_targets_changed(self.state.fleet.replace(listing.targets, keep=keep))
         self.state.fleet.revision = max(self.state.fleet.revision, listing.revision)
         if not keep:
             self.state.freshness.confirm(TARGETS, asked_ms=asked_ms)
@@ -214,7 +214,7 @@
         self.target_status.watch_succeeded()
         lapsing = self.state.clock.now_ms() < self.grace_until_ms
         removed = [] if lapsing else list(changes.removed)
-        self.state.targets_changed(self.state.fleet.update(changes.changed, removed))
+        self.state.on_targets_changed(self.state.fleet.update(changes.changed, removed))
         self.state.fleet.revision = max(self.state.fleet.revision, changes.revision)
         if not lapsing:
             # Removals are held back here meanwhile: other entries must not rely on this data.
@@ -223,4 +223,4 @@
 
     def _configuration_changed(self, change: ConfigurationChange) -> None:
         if change.configuration:
-            self.state.adopt(change.configuration, source="store")
+            self.state.apply_configuration(change.configuration, source="store")
