--- a/packages/coordination/src/mimosaspur_coordination/directory.py
+++ b/packages/coordination/src/mimosaspur_coordination/directory.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from mimosaspur_coordination.decoded import RecordCache
 from mimosaspur_coordination.hints import TargetHint
 from mimosaspur_coordination.holders import Holders
 from mimosaspur_coordination.holders import name_of
 from mimosaspur_coordination.mirror import Mirror
+from mimosaspur_coordination.recordcache import RecordCache
 from mimosaspur_coordination.routing import Candidate
 from mimosaspur_coordination.routing import candidates_for
 from mimosaspur_state import keys
--- a/packages/daemon/src/mimosaspur_daemon/entryrole.py
+++ b/packages/daemon/src/mimosaspur_daemon/entryrole.py
@@ -50,7 +50,7 @@
             pace_ms=settings.platform.watch_pace_ms,
         )
         self.fetcher = BundleFetcher(self.store, self.holder)
-        self.mirror.listeners.append(self.fetcher.head_changed)
+        self.mirror.listeners.append(self.fetcher.on_change)
         self.directory = Directory(self.mirror, region=region)
         self.mirror.listeners.append(self.directory.follow_drains)
         self.demand = DemandCounter()
