--- a/features/bundles.feature
+++ b/features/bundles.feature
@@ -1,5 +1,5 @@
 Feature: An accepted bundle is in force everywhere and never reverts
-  Every process hands the bundle in force to those that are behind.
+  Guards against processes that miss a bundle in an outage or revert to an older one.
 
   Background:
     Given a bundle site of two targets and two entries that serves version 1 of "notes"
--- a/features/bundles_rolls.feature
+++ b/features/bundles_rolls.feature
@@ -1,5 +1,5 @@
 Feature: Rolls that meet each other, lost answers and traffic
-  One roll wins, it is soon in force everywhere, and no request notices.
+  Guards against lost or repeated rolls, reverted bundles and requests that fail during a roll.
 
   Background:
     Given a bundle site of two targets and two entries that serves version 1 of "notes"
--- a/features/bundles_versions.feature
+++ b/features/bundles_versions.feature
@@ -1,5 +1,5 @@
 Feature: An older version is not served again once a newer one is ready
-  An entry joins what targets said over their connections with the placement record.
+  Guards against routing to an older version because of late reports or placement records.
 
   Scenario Outline: The newest version that is ready is asked for: <case>
     Given version 3 of "notes" is in force
--- a/features/harness/bundles_world.py
+++ b/features/harness/bundles_world.py
@@ -27,7 +27,7 @@
 
 
 def await_generation(context: Context, names: tuple[str, ...], wanted: int) -> None:
-    """Wait until processes have a generation."""
+    """Wait until processes have reached a generation."""
     for name in names:
         wait_for(
             lambda n=name: generation(context.site, n) >= wanted,  # type: ignore[misc]
--- a/features/harness/planner_bundles.py
+++ b/features/harness/planner_bundles.py
@@ -1,4 +1,4 @@
-"""Read the bundles that the planner's features write down."""
+"""Parse the bundle notation of the planner's features."""
 
 from typing import Any
 
@@ -11,12 +11,12 @@
 
 
 def read_bundle(text: str) -> Bundle:
-    """Read "a@1:5:r2 b@1:3:ax.1.2" as a bundle; sizes are in GB."""
+    """Parse "a@1:5:r2 b@1:3:ax.1.2" as a bundle; sizes are in GB."""
     return Bundle("tested", tuple(read_model(part) for part in text.split()))
 
 
 def read_model(text: str) -> ModelEntry:
-    """Read one model with its options."""
+    """Parse one model with its options."""
     resident, gigabytes, *options = text.split(":")
     name, version = resident.split("@")
     extra: dict[str, Any] = {}
@@ -31,6 +31,6 @@
 
 
 def read_adapter(text: str) -> AdapterEntry:
-    """Read an adapter's name, version and size."""
+    """Parse an adapter's name, version and size."""
     name, version, gigabytes = text.split(".")
     return AdapterEntry(name, version, int(gigabytes) * MB_PER_GB)
--- a/features/harness/planner_target.py
+++ b/features/harness/planner_target.py
@@ -1,4 +1,4 @@
-"""Stand in for a target: what it really has in memory, and where."""
+"""Simulate the memory of a target."""
 
 from dataclasses import dataclass
 from dataclasses import field
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class SimulatedTarget:
-    """Hold what a target really has in memory, and where."""
+    """Track what a simulated target has loaded, and on which accelerators."""
 
     name: str
     domain: str
@@ -41,7 +41,7 @@
     adapters: dict[tuple[str, str], dict[str, int]] = field(default_factory=dict)
 
     def free_mb(self) -> list[int]:
-        """Return what is free on each accelerator."""
+        """Return the free memory on each accelerator."""
         free = list(self.capacity_mb)
         for need, chosen in self.loaded.values():
             for index in chosen:
@@ -77,7 +77,7 @@
         self.loaded[key] = (replace(need, memory_mb=need.memory_mb - memory_mb), chosen)
 
     def status(self) -> TargetStatus:
-        """Report the target."""
+        """Return the status that the target reports."""
         status = target_status(self.name, self.capacity_mb, domain=self.domain)
         models = [f"{model}@{version}" for model, version in self.loaded]
         residents = (*models, *(name for on in self.adapters.values() for name in on))
@@ -94,7 +94,7 @@
 
 
 def can_pack(free_mb: list[int], needs: list[Need]) -> bool:
-    """Try every way to lay needs on accelerators."""
+    """Return whether the needs fit on the accelerators, by exhaustive search."""
     if not needs:
         return True
     return any(
--- a/features/harness/planner_world.py
+++ b/features/harness/planner_world.py
@@ -1,4 +1,4 @@
-"""Stand in for a region whose targets answer the planner in any order."""
+"""Simulate a region whose targets apply the planner's changes in any order."""
 
 from harness.planner_target import SimulatedTarget
 from harness.planner_target import can_pack
@@ -21,19 +21,19 @@
 
 
 class FixedTokens:
-    """Hand out a fixed number of tokens."""
+    """Grant a fixed number of tokens."""
 
     def __init__(self, left: int) -> None:
         self.left = left
 
     def take(self, n: int = 1) -> bool:
-        """Take a token if there is one."""
+        """Take one token; return False if none is left."""
         self.left -= 1
         return self.left >= 0
 
 
 class SimulatedRegion:
-    """Run the planner against simulated targets, checking every state that arises."""
+    """Run the planner against simulated targets and check every state."""
 
     def __init__(self, capacities: list[tuple[int, ...]], max_concurrent_loads: int) -> None:
         self.targets = {
@@ -60,7 +60,7 @@
             self.needs[(model.name, model.version)] = Need.of(model)
 
     def run_planner(self) -> list[RecordChange]:
-        """Have the planner decide from what it can see."""
+        """Run the planner on the reported statuses."""
         self.now_ms += STEP_MS
         self._track_load_starts()
         view = PlannerView(
@@ -77,7 +77,7 @@
         return plan(view, FixedTokens(self.max_concurrent_loads))
 
     def apply_change(self, change: RecordChange) -> None:
-        """Apply a planner's change if its version still holds, and check what it leaves."""
+        """Apply a change if the record's version still matches, then check the state."""
         known = self.records.get(change.model)
         if (known.version if known else 0) != change.record_version:
             return
@@ -90,7 +90,7 @@
         self.check_limits()
 
     def apply_records(self, name: str) -> None:
-        """Have one target do all that its records ask of it."""
+        """Apply all records on one target."""
         if name in self.dead:
             return
         target = self.targets[name]
@@ -110,12 +110,12 @@
         self.check_limits()
 
     def write_status(self, name: str) -> None:
-        """Have one target write its status."""
+        """Store one target's status."""
         if name not in self.dead:
             self.statuses[name] = self.targets[name].status()
 
     def run_until_ready(self, rounds: int) -> bool:
-        """Let all run in turn; tell whether every model became ready and all is at rest."""
+        """Run planner and targets in turn; return whether all models are ready and changes end."""
         for _ in range(rounds):
             changes = self.run_planner()
             if not changes and self.all_ready():
@@ -128,7 +128,7 @@
         return False
 
     def all_ready(self) -> bool:
-        """Tell whether each model has a ready replica of its version."""
+        """Return whether each model has a ready replica of its version."""
         return all(
             any(
                 item.version == entry.version
@@ -140,7 +140,7 @@
         )
 
     def check_limits(self) -> None:
-        """Check the limits and the memory, stated plainly."""
+        """Check the limit on concurrent loads and that each target's memory is enough."""
         loads = [
             item
             for placed in self.records.values()
@@ -156,7 +156,7 @@
                 for placed in self.records.values()
                 for item in placed.record.on(name)
             }
-            # What a target holds may still have other adapters than the bundle names.
+            # A loaded replica may still have other adapters than the bundle names.
             needs = [held[0] for held in target.loaded.values()]
             needs += [self.needs[key] for key in planned - target.loaded.keys()]
             assert can_pack(list(target.capacity_mb), needs), f"{name} can't hold {needs}"
@@ -167,7 +167,7 @@
         after = change.new.ready() if change.new else []
         had = [item for item in before.ready() if item.target not in self.dead]
         has = [item for item in after if item.target not in self.dead]
-        assert has or not had, f"{change} takes the last ready replica"
+        assert has or not had, f"{change} removes the last ready replica"
 
     def _put_record(self, record: PlacementRecord) -> None:
         self.version += 1
@@ -189,7 +189,7 @@
         }
 
     def _unreserved_mb(self, target: SimulatedTarget) -> list[int]:
-        """Leave room for adapters that bases on the target still need, as an engine keeper does."""
+        """Return the free memory less what loaded bases still need for adapters."""
         free_mb = target.free_mb()
         for key, (_, chosen) in target.loaded.items():
             entry = self.index.models.get(key[0])
@@ -210,7 +210,7 @@
         return all(item.resident() in present for item in entry.adapters)
 
     def _update_adapters(self, target: SimulatedTarget, entry: ModelEntry) -> None:
-        """Load one missing adapter, as an engine keeper does, then unload what it replaces."""
+        """Load one missing adapter, then unload the replaced ones."""
         key = (entry.name, entry.version)
         present = target.adapters.get(key, {})
         missing = [item for item in entry.adapters if item.resident() not in present]
--- a/features/planner.feature
+++ b/features/planner.feature
@@ -1,11 +1,11 @@
 Feature: Place every model of a bundle
-  The planner changes one placement record at a time, each change safe alone.
+  Guards against plans that drop a last ready replica, exceed memory or limits, or never converge.
   Targets are written name:domain:GB, with the GB of each accelerator joined by "/" and then
-  dead, draining, failed or service where that is so. Models are written name@version:GB, then
+  dead, draining, failed or service if it applies. Models are written name@version:GB, then
   r (replicas), m (most replicas), p (priority), x (accelerators), d (domain) and
   a (adapter, as name.version.GB). Replicas are
   written model@version/target:state. A change is +target for a load, -target for a replica
-  that is to leave, !target for one struck from the record and # for a record deleted.
+  to unload, !target for one removed from its record and # for a deleted record.
 
   Scenario Outline: the planner decides <case>
     Given a plan for the targets "<targets>"
--- a/features/scale.feature
+++ b/features/scale.feature
@@ -1,6 +1,6 @@
 Feature: What a large region costs a process follows what changes, not what there is
-  At the target size a region has 1,500 placement records and hundreds of targets. Nobody goes over
-  all of them for one request or one round, and the results are those of going over all of them.
+  Guards against full scans of all placement records or targets for one request or round, and
+  against indexes whose results differ from those of a full scan.
 
   Scenario Outline: The instance list is read as its size allows: <case>
     Given an instance list of <size> bytes that may take <rate> bytes a second
--- a/features/steps/bundles_rolls_steps.py
+++ b/features/steps/bundles_rolls_steps.py
@@ -1,4 +1,4 @@
-"""Steps of rolls that meet faults, and of rolls at the same time."""
+"""Steps for concurrent rolls and rolls during faults."""
 
 import itertools
 from functools import partial
@@ -68,7 +68,7 @@
 @when('versions {first:d} to {last:d} of "notes" are rolled while connections are cut')
 def roll_rapidly(context: Context, first: int, last: int) -> None:
     site = context.site
-    # What targets hand over is then older than what the object API has told already.
+    # Targets then deliver older bundles than the object API has already delivered.
     for name in TARGETS:
         call(site.relays[name].control, "POST", "/delay", {"ms": HANDOVER_DELAY_MS})
     cut = itertools.cycle((*TARGETS, *(f"api of {name}" for name in PROCESSES)))
@@ -100,7 +100,7 @@
     names = [roll.bundle for roll in (head.current, *head.history)]
     assert names == ["notes-2", "notes-1"], names
     assert context.rolled.roll == head.current, context.rolled
-    assert not context.rolled.already, "its own roll is told as another's"
+    assert not context.rolled.already, "its own roll is reported as another's"
     faults = call(context.site.api, "GET", "/faults")["faults"]
     assert [fault["struck"] for fault in faults] == [1], faults
 
--- a/features/steps/bundles_steps.py
+++ b/features/steps/bundles_steps.py
@@ -1,4 +1,4 @@
-"""Steps of bundles that spread, and of rolls that meet faults."""
+"""Steps for spreading bundles to all processes during outages."""
 
 import time
 from typing import Any
@@ -32,14 +32,14 @@
 @given('a bundle site of two targets and two entries that serves version 1 of "notes"')
 def start_bundle_site(context: Context) -> None:
     site = begin_site(context)
-    # Each has its own way to the object API, so that it can be cut for some only.
+    # Each process has its own relay to the object API, so that single ones can be cut.
     for name in TARGETS:
-        way = site.relay(f"api of {name}", site.api).address
-        site.model_target(name, relay=True, api=way)
+        api = site.relay(f"api of {name}", site.api).address
+        site.model_target(name, relay=True, api=api)
     for name in ENTRIES:
-        way = site.relay(f"api of {name}", site.api).address
-        # Idle connections are closed soon: the bundle must not depend on an open one.
-        site.entry(name, api=way, peer_idle_ms=IDLE_MS)
+        api = site.relay(f"api of {name}", site.api).address
+        # Idle connections close early: the bundle must not depend on an open one.
+        site.entry(name, api=api, peer_idle_ms=IDLE_MS)
     site.await_targets()
     roll_notes(context, 1)
     for name in ENTRIES:
@@ -48,7 +48,7 @@
 
 
 @given('only "{first}" still reaches the object API')
-def cut_ways(context: Context, first: str) -> None:
+def cut_relays(context: Context, first: str) -> None:
     context.first = first
     for name in PROCESSES:
         if name != first:
--- a/features/steps/bundles_versions_steps.py
+++ b/features/steps/bundles_versions_steps.py
@@ -1,4 +1,4 @@
-"""Steps of which version an entry asks for."""
+"""Steps for the model version that an entry requests."""
 
 from behave import given
 from behave import then
--- a/features/steps/planner_any_steps.py
+++ b/features/steps/planner_any_steps.py
@@ -1,4 +1,4 @@
-"""State what holds of the planner in any order of events."""
+"""Steps for the planner's invariants in any order of events."""
 
 from collections import Counter
 
@@ -31,7 +31,7 @@
     deadline=None,
     suppress_health_check=list(HealthCheck),
 )
-# Shrinking a failure would take minutes, and the message shows the whole state.
+# No shrinking: it would take minutes, and the message shows the whole state.
 CONVERGENCE_SETTINGS = settings(
     ANY_ORDER_SETTINGS, max_examples=4 * EXAMPLES, phases=(Phase.explicit, Phase.generate)
 )
@@ -129,14 +129,14 @@
 
 
 def roll_both(world: SimulatedRegion, first: Bundle, second: Bundle, counted: Counter[str]) -> None:
-    """Roll two bundles that pass the check, and have each get ready; count those that pass."""
+    """Roll two bundles that pass the fit check until each is ready; count those that pass."""
     in_force = None
     for which, bundle in (("first", first), ("second", second)):
         if not fits(bundle, in_force, world):
             return
         counted[which] += 1
         world.roll(bundle)
-        assert world.run_until_ready(ROUNDS), f"the {which} never got ready: {world.records}"
+        assert world.run_until_ready(ROUNDS), f"the {which} bundle never got ready: {world.records}"
         in_force = bundle
 
 
@@ -152,11 +152,11 @@
             roll_both(world, first, second, counted)
 
     run()
-    assert min(counted.values()) >= EXAMPLES // 4, f"too few runs that tell: {counted}"
+    assert min(counted.values()) >= EXAMPLES // 4, f"too few runs passed the fit check: {counted}"
 
 
 def with_adapters(bundle: Bundle, versions: list[int]) -> Bundle:
-    """Give each model two adapters at most, each as large in GB as its version says."""
+    """Give each model up to two adapters, each with its version number as its size in GB."""
     models = []
     for number, model in enumerate(bundle.models):
         own = versions[2 * number : 2 * number + 2]
@@ -189,7 +189,7 @@
         roll_both(world, first, second, counted)
 
     run()
-    assert min(counted.values()) >= EXAMPLES // 4, f"too few runs that tell: {counted}"
+    assert min(counted.values()) >= EXAMPLES // 4, f"too few runs passed the fit check: {counted}"
 
 
 @given('a plan for a region of "{sizes}" with {at_once:d} loads at once')
@@ -203,9 +203,11 @@
 @given('a plan that ended with "{text}" ready')
 def step_first_ready(context: Context, text: str) -> None:
     context.in_force = read_bundle(text)
-    assert fits(context.in_force, None, context.world), "the first doesn't pass the check"
+    assert fits(
+        context.in_force, None, context.world
+    ), "the first bundle doesn't pass the fit check"
     context.world.roll(context.in_force)
-    assert context.world.run_until_ready(ROUNDS), f"never got ready: {context.world.records}"
+    assert context.world.run_until_ready(ROUNDS), f"first bundle not ready: {context.world.records}"
 
 
 @when('a plan goes on to "{text}" if it passes the check')
@@ -216,7 +218,7 @@
         return
     context.world.roll(bundle)
     ready = context.world.run_until_ready(ROUNDS)
-    context.end = "ends ready" if ready else f"never got ready: {context.world.records}"
+    context.end = "ends ready" if ready else f"second bundle not ready: {context.world.records}"
 
 
 @then("a plan for it {end}")
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -1,4 +1,4 @@
-"""State what the planner decides, case by case and in any order of events."""
+"""Steps for single decisions of the planner."""
 
 import re
 from dataclasses import replace
@@ -33,11 +33,11 @@
 
 
 def read_target(text: str) -> tuple[TargetStatus, str]:
-    name, domain, sizes, *mark = text.split(":")
+    name, domain, sizes, *rest = text.split(":")
     capacity = tuple(int(size) * MB_PER_GB for size in sizes.split("/"))
-    said = mark[0] if mark else ""
-    kind = "service" if said == "service" else "engine"
-    return target_status(name, capacity, domain=domain, kind=kind), said
+    condition = rest[0] if rest else ""
+    kind = "service" if condition == "service" else "engine"
+    return target_status(name, capacity, domain=domain, kind=kind), condition
 
 
 @given('a plan for the targets "{text}"')
@@ -46,13 +46,15 @@
     context.view = PlannerView(
         index=BundleIndex.build(GENERATION, Bundle("none", ())),
         placed={},
-        alive={status.instance: status for status, said in context.targets if said != "dead"},
+        alive={s.instance: s for s, condition in context.targets if condition != "dead"},
         now_ms=NOW_MS,
-        draining=frozenset(s.instance for s, said in context.targets if said == "draining"),
+        draining=frozenset(
+            s.instance for s, condition in context.targets if condition == "draining"
+        ),
         window_ms=WINDOW_MS,
     )
     context.failed_before = [
-        status.instance for status, said in context.targets if said == "failed"
+        status.instance for status, condition in context.targets if condition == "failed"
     ]
     context.tokens = 99
 
@@ -180,12 +182,12 @@
 
 @when('a plan from "" to "{bundle}" is checked')
 def step_check_first(context: Context, bundle: str) -> None:
-    context.said = fit_error(context, None, bundle)
+    context.fit_error = fit_error(context, None, bundle)
 
 
 @when('a plan from "{in_force}" to "{bundle}" is checked')
 def step_check(context: Context, in_force: str, bundle: str) -> None:
-    context.said = fit_error(context, read_bundle(in_force), bundle)
+    context.fit_error = fit_error(context, read_bundle(in_force), bundle)
 
 
 def fit_error(context: Context, in_force: Bundle | None, bundle: str) -> str:
@@ -198,9 +200,9 @@
 
 @then('a plan check says ""')
 def step_check_silent(context: Context) -> None:
-    assert not context.said, context.said
+    assert not context.fit_error, context.fit_error
 
 
 @then('a plan check says "{text}"')
 def step_check_says(context: Context, text: str) -> None:
-    assert text in context.said, context.said or "it fits"
+    assert text in context.fit_error, context.fit_error or "it fits"
--- a/features/steps/scale_any_steps.py
+++ b/features/steps/scale_any_steps.py
@@ -1,4 +1,4 @@
-"""Compare what follows changes with scans of everything, in any order of events."""
+"""Compare incremental indexes with full scans, in any order of events."""
 
 from collections.abc import Callable
 from typing import Any
@@ -64,7 +64,7 @@
     notes = {"name": "notes", "version": version, "memory_mb": 1, "adapters": [lora]}
     maps = {"name": "maps", "version": "1", "memory_mb": 1}
     if version == "3":
-        # An adapter may go over to another model.
+        # An adapter may move to another model.
         notes["adapters"], maps["adapters"] = [], [lora]
     return BundleIndex.build(
         int(version), bundle_from_value({"name": "b", "models": [notes, maps]})
@@ -113,14 +113,14 @@
 
 
 class MirrorChanges:
-    """Make records' changes in a mirror."""
+    """Apply record changes to a mirror."""
 
     def __init__(self) -> None:
         self.mirror = Mirror(mock.Mock(), ("",), wait_ms=1)
         self.version = 0
 
     def put(self, key: str, value: Any) -> None:
-        """Let the mirror learn of one change."""
+        """Apply one change to the mirror."""
         self.version += 1
         self.mirror.learn(StoredObject(key, self.version, value))
 
@@ -131,7 +131,7 @@
 
 
 class DirectoryComparison:
-    """Let a directory see events, and ask it and the scan the same."""
+    """Apply events to a directory and compare it with a full scan."""
 
     def __init__(self) -> None:
         self.changes = MirrorChanges()
@@ -139,7 +139,7 @@
         self.former_hints: dict[str, Any] = {}
 
     def apply(self, event: Event) -> None:
-        """Let one event happen."""
+        """Apply one event."""
         kind, what, how = event
         hints = self.directory.hints
         if kind == "record":
@@ -155,7 +155,7 @@
             ]
             self.directory.update(listed)
         elif kind == "said late" and what in self.former_hints:
-            # The connection to an address that is left may still tell something.
+            # The connection to a former address may still deliver a report.
             self.former_hints[what].connected(False, how)
         elif what in hints:
             self._apply_to_hint(kind, hints[what], how)
@@ -171,7 +171,7 @@
             hint.own = how
 
     def check(self) -> None:
-        """Compare all answers with the scan's."""
+        """Compare all candidates with those of a full scan."""
         for index in INDEXES.values():
             for served in index.served.values():
                 item = self.changes.mirror.get(keys.placement(REGION, served.model.name))
@@ -183,7 +183,7 @@
         )
 
     def scan_service(self) -> list[Candidate]:
-        """Go over all hints, as the directory did before it had an index."""
+        """Return a service's candidates by scanning all hints."""
         item = self.changes.mirror.get(keys.carrier(REGION, SERVICE))
         record = placement_from_value(item.value) if item else None
         carrying = {replica.target for replica in record.ready()} if record else set()
@@ -200,7 +200,7 @@
 
 
 class SituationComparison:
-    """Let a keeper's situations see events, and ask them and the scan the same."""
+    """Apply events to an engine keeper's situations and compare them with a full scan."""
 
     def __init__(self) -> None:
         self.changes = MirrorChanges()
@@ -209,7 +209,7 @@
         self.residents: tuple[Resident, ...] = ()
 
     def apply(self, event: Event) -> None:
-        """Let one event happen."""
+        """Apply one event."""
         kind, what, how = event
         if kind == "record":
             self.changes.record(what, how)
@@ -221,13 +221,13 @@
             self.residents = what
 
     def check(self) -> None:
-        """Compare the situation with the scan's."""
+        """Compare the situation with that of a full scan."""
         report = EngineState("e", 1, (10,), self.residents)
         found = self.situations.of(report, self.index)
         assert found == self.scan(report), (found, self.scan(report))
 
     def scan(self, report: EngineState) -> Situation:
-        """Decode and go over all records, as each round did before it remembered any."""
+        """Return the situation by decoding all records."""
         found = []
         for item in self.changes.mirror.under(keys.placements(REGION)):
             try:
--- a/features/steps/scale_steps.py
+++ b/features/steps/scale_steps.py
@@ -1,4 +1,4 @@
-"""Steps of what a large region costs a process."""
+"""Steps for the cost of a large region to one process."""
 
 import threading
 from collections.abc import Callable
@@ -45,7 +45,7 @@
 
 
 class FakeInstanceList:
-    """Stand in for the instance list."""
+    """Fake an instance list and count its readings."""
 
     def __init__(self, size_bytes: int) -> None:
         self.size_bytes = size_bytes
@@ -53,7 +53,7 @@
         self.readings = 0
 
     def instances(self) -> list[Instance]:
-        """Return what is listed now."""
+        """Return the listed instances."""
         self.readings += 1
         return list(self.listed)
 
@@ -93,7 +93,7 @@
         if reading.endswith(FAILS):
             context.pace.not_answered(context.last_ms)
         else:
-            # The first reading is before anybody is sought.
+            # Nothing is sought before the first reading.
             tried = context.sought if context.last_ms else []
             context.pace.noted(context.last_ms, context.size_bytes, tried)
 
@@ -167,7 +167,7 @@
 
 @then('the entry knows "{name}" long before the next regular reading')
 def check_known(context: Context, name: str) -> None:
-    # A regular reading comes after 20 s, past the bound.
+    # The next regular reading comes after 20 s, past the timeout.
     await_condition(lambda: name in context.directory.hints)
     assert name not in context.directory.sought()
 
--- a/packages/coordination/src/mimosaspur_coordination/bundlestatus.py
+++ b/packages/coordination/src/mimosaspur_coordination/bundlestatus.py
@@ -1,4 +1,4 @@
-"""Tell operators which bundles there are and how they differ."""
+"""List the bundles in force and pending, and compare two bundles."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WaitingBundle:
-    """Describe a bundle that never was in force; superseded ones must be written again."""
+    """Describe a bundle that was never in force; a superseded one must be written again."""
 
     name: str
     written_by: str
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class BundleStatus:
-    """Hold the roll in force, None before the first, and the bundles not rolled."""
+    """Store the roll in force (None before the first) and the bundles that were never rolled."""
 
     current: Roll | None
     waiting: list[WaitingBundle]
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Difference:
-    """Tell one difference; field is empty for a whole entry, before or after is None then."""
+    """Describe one difference; for a whole entry, field is empty and before or after is None."""
 
     entry: str
     field: str
@@ -46,7 +46,7 @@
 
 
 def status(store: ObjectStore) -> BundleStatus:
-    """Return what is in force, and what is written or approved but not rolled."""
+    """Return the roll in force and the bundles that are written or approved but not rolled."""
     head, _ = read_head(store)
     current = head.current if head else None
     rolled = {roll.bundle for roll in (head.current, *head.history)} if head else set()
@@ -71,7 +71,7 @@
 
 
 def diff(before: Bundle, after: Bundle) -> list[Difference]:
-    """Return what changes from one bundle to another, entry by entry."""
+    """Return the differences between two bundles, entry by entry."""
     old = _entries(before)
     new = _entries(after)
     found: list[Difference] = []
--- a/packages/coordination/src/mimosaspur_coordination/draft.py
+++ b/packages/coordination/src/mimosaspur_coordination/draft.py
@@ -24,7 +24,7 @@
 
 
 class RateLimiter(Protocol):
-    """Bound a rate."""
+    """Limit a rate with tokens."""
 
     def take(self, n: int = 1) -> bool:
         """Take n tokens; return False if there is none now."""
@@ -32,10 +32,10 @@
 
 
 class Draft:
-    """Hold the records as this pass leaves them and the room that is left.
+    """Track the records and free memory as one planning pass changes them.
 
-    Each record's change must be safe alone, since any of them may fail to be written. So
-    room and load places that one change gives up are not used by another in the same pass.
+    Any change may fail to be written, so each must be safe alone: memory and load slots that
+    one change releases are not reused by another in the same pass.
     """
 
     def __init__(self, view: PlannerView, bucket: RateLimiter) -> None:
@@ -51,7 +51,7 @@
 
     @cached_property
     def bins(self) -> dict[str, Bin]:
-        """Hold the room of each target, without what this pass gives up."""
+        """Return the free memory by target, without memory that this pass releases."""
         bins = {
             status.instance: Bin.of(status)
             for status in sorted(self.view.alive.values(), key=lambda item: item.instance)
@@ -65,7 +65,7 @@
 
     @cached_property
     def models_by_target(self) -> dict[str, set[str]]:
-        """Hold by target the models whose record names it, or named it in this pass."""
+        """Return the models by target, including those removed in this pass."""
         found: dict[str, set[str]] = {}
         for model, record in self.records.items():
             for replica in record.replicas:
@@ -74,13 +74,13 @@
 
     @cached_property
     def targets_with_unwanted(self) -> set[str]:
-        """Hold the targets with models that the bundle doesn't name, as first asked for."""
+        """Return the targets with models outside the bundle, as of the first access."""
         unwanted = self.records.keys() - self.view.index.models.keys()
         return {item.target for model in unwanted for item in self.records[model].replicas}
 
     @cached_property
     def loading_sole_replica(self) -> set[str]:
-        """Hold the targets that load a model's only replica, as first asked for in this pass."""
+        """Return the targets that load a model's only replica, as of the first access."""
         return {
             replica.target
             for model, record in self.records.items()
@@ -89,16 +89,16 @@
         }
 
     def record(self, model: str) -> PlacementRecord:
-        """Return a model's record as this pass leaves it."""
+        """Return a model's record with the changes of this pass."""
         found = self.records.get(model)
         return found or PlacementRecord(model, self.view.index.generation)
 
     def is_live(self, replica: Replica) -> bool:
-        """Tell whether a replica's target is alive."""
+        """Return whether a replica's target is alive."""
         return replica.target in self.view.alive
 
     def is_staying(self, replica: Replica) -> bool:
-        """Tell whether a replica's target is alive and not told to leave."""
+        """Return whether a replica's target is alive and not draining."""
         return self.is_live(replica) and replica.target not in self.view.draining
 
     def live_ready(self, model: str) -> list[Replica]:
@@ -106,7 +106,7 @@
         return [replica for replica in self.record(model).ready() if self.is_live(replica)]
 
     def up_to_date(self, entry: ModelEntry) -> list[Replica]:
-        """Return the ready replicas of the wanted version on targets that stay."""
+        """Return ready replicas of the wanted version, with adapter room and a staying target."""
         ready = self.record(entry.name).ready()
         return [
             item
@@ -121,7 +121,7 @@
         return _loading_replicas(self.record(model))
 
     def candidates(self, entry: ModelEntry) -> Iterator[Bin]:
-        """Yield the targets that may get a replica of this entry, whatever their room."""
+        """Yield the targets that may get a replica of this entry, regardless of free memory."""
         need = Need.of(entry)
         taken = {
             item.target
@@ -133,19 +133,19 @@
                 yield room
 
     def candidates_with_room(self, entry: ModelEntry) -> list[Bin]:
-        """Return the candidates that have room."""
+        """Return the candidates with enough free memory."""
         need = Need.of(entry)
         if not self._may_fit(need):
             return []
         return [room for room in self.candidates(entry) if room.fits(need)]
 
     def has_room(self, entry: ModelEntry) -> bool:
-        """Tell whether any candidate has room."""
+        """Return whether any candidate has enough free memory."""
         need = Need.of(entry)
         return self._may_fit(need) and any(room.fits(need) for room in self.candidates(entry))
 
     def need_of(self, entry: ModelEntry, replica: Replica) -> Need:
-        """Return what a replica of an entry takes, whatever its version."""
+        """Return the memory that a replica of an entry takes, at any version."""
         resident = f"{entry.name}@{replica.version}"
         former = self.view.former_entries.get(resident, entry)
         shape = entry if replica.version == entry.version else former
@@ -165,10 +165,10 @@
         return self.layouts[target]
 
     def can_accept_load(self, target: str) -> bool:
-        """Tell whether a target may be given a load now.
+        """Return whether a target can accept a load now.
 
-        A target lays out its accelerators in the order in which it sees its loads. One load at
-        a time leaves no doubt where each one comes to lie.
+        A target assigns accelerators in the order in which it receives loads, so the layout is
+        predictable only with one load at a time.
         """
         if len(self.bins[target].capacity_mb) < 2:
             return True
@@ -179,10 +179,10 @@
         )
 
     def acquire_load(self, entry: ModelEntry) -> bool:
-        """Take the right to start one load; return False if the weight store's limits say no."""
+        """Acquire a load slot; return False if the weight store's limits are reached."""
         if self.remaining_loads == 0:
             return False
-        # The target reads the weights of the model and of each adapter, one after the other.
+        # The target reads the weights of the model and of each adapter.
         if not self.bucket.take(1 + len(entry.adapters)):
             self.remaining_loads = 0
             return False
@@ -190,7 +190,7 @@
         return True
 
     def start_load(self, entry: ModelEntry, target: str, reason: str) -> bool:
-        """Have a target load the entry; return False if the limits say not now."""
+        """Start a load on a target; return False if a limit forbids it now."""
         if not self.can_accept_load(target) or not self.acquire_load(entry):
             return False
         replica = Replica(target, entry.version, ReplicaState.LOAD)
@@ -200,17 +200,17 @@
         return True
 
     def retire(self, model: str, replica: Replica, reason: str) -> None:
-        """Have a target unload a replica."""
+        """Mark a replica LEAVING, so that its target unloads it."""
         leaving = Replica(replica.target, replica.version, ReplicaState.LEAVING)
         self.update_record(model, self.record(model).with_replica(leaving), reason)
 
     def drop(self, model: str, replica: Replica, reason: str) -> None:
-        """Take a replica out of its record without its target."""
+        """Remove a replica from its record without waiting for its target."""
         rest = self.record(model).without(replica.target, replica.version)
         self.update_record(model, rest, reason)
 
     def update_record(self, model: str, record: PlacementRecord, reason: str) -> None:
-        """Put a changed record in place of a model's former one."""
+        """Replace a model's record and add a reason."""
         for replica in (*self.record(model).replicas, *record.replicas):
             self.offers.pop(replica.target, None)
         generation = self.view.index.generation
@@ -218,7 +218,7 @@
         self.reasons.setdefault(model, []).append(reason)
 
     def changes(self) -> list[RecordChange]:
-        """Return the changes, one for each record, in the order in which they were decided."""
+        """Return one change for each record, in the order of decision."""
         return [
             RecordChange(
                 model, self._read_version(model), self._new_record(model), "; ".join(reasons)
@@ -245,7 +245,7 @@
             status = self.view.alive[replica.target]
             missing_mb = _missing_mb(entry, status)
             if missing_mb:
-                # Also a replica without that room takes its adapters as soon as there is room.
+                # Reserved even if it doesn't fit: the adapters load as soon as memory is free.
                 need = Need(entry.name, missing_mb, entry.accelerators)
                 room.force_reserve(need, accelerators_of(status, entry.resident()))
 
@@ -264,7 +264,7 @@
         return self.view.former_entries.get(resident)
 
     def _may_fit(self, need: Need) -> bool:
-        """Tell quickly that no target has room: in one pass, room only gets less."""
+        """Return False if no target has room; free memory only shrinks during a pass."""
         key = (need.accelerators, need.domains)
         if key not in self.max_free_mb:
             rooms = [room for name, room in self.bins.items() if name not in self.view.draining]
--- a/packages/coordination/src/mimosaspur_coordination/dryrun.py
+++ b/packages/coordination/src/mimosaspur_coordination/dryrun.py
@@ -1,4 +1,4 @@
-"""Try a roll out from what targets report, with the planner itself deciding the moves."""
+"""Simulate a roll from reported target statuses, using the real planner."""
 
 from mimosaspur_coordination.dryruntarget import DryRunTarget
 from mimosaspur_coordination.planner import plan
@@ -20,15 +20,15 @@
 
 
 class _UnlimitedRate:
-    """Give a token whenever asked."""
+    """Never limit the rate."""
 
     def take(self, n: int = 1) -> bool:
-        """Take a token."""
+        """Return True."""
         return True
 
 
 class DryRun:
-    """Run a roll on targets that do at once what the planner asks of them."""
+    """Simulate a roll on targets that apply the planner's changes immediately."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
     ) -> None:
         self.index = BundleIndex.build(1, bundle)
         self.max_concurrent_loads = max_concurrent_loads
-        # What is on targets now is as the bundle in force names it.
+        # The bundle in force takes precedence: it describes what is loaded now.
         self.entries_by_resident = {
             entry.resident(): entry for entry in (*bundle.models, *in_force.models)
         }
@@ -55,19 +55,19 @@
                 self._put_replica(model, Replica(name, version, ReplicaState.READY))
 
     def find_unready(self) -> ModelEntry | None:
-        """Run the roll; return a model that never gets its new version ready, or None."""
-        waiting: list[ModelEntry] = []
+        """Simulate the roll; return a model whose new version never gets ready, or None."""
+        not_ready: list[ModelEntry] = []
         for step in range(BASE_ROUNDS + ROUNDS_PER_MODEL * len(self.index.models)):
             changes = plan(self._view(step * STEP_MS), _UnlimitedRate())
-            waiting = [entry for entry in self.index.models.values() if not self._is_ready(entry)]
-            if not waiting:
+            not_ready = [entry for entry in self.index.models.values() if not self._is_ready(entry)]
+            if not not_ready:
                 return None
             for change in changes:
                 self._apply_change(change)
             answered = self._run_targets()
             if not changes and not answered:
                 break
-        return waiting[0] if waiting else None
+        return not_ready[0] if not_ready else None
 
     def _view(self, now_ms: int) -> PlannerView:
         return PlannerView(
@@ -100,15 +100,15 @@
         self.placed[model] = Placed(record.with_replica(replica), 1)
 
     def _run_targets(self) -> bool:
-        """Have targets do what records ask; tell whether anything came of it."""
-        asked = [
+        """Apply the records on all targets; return whether anything changed."""
+        requested = [
             (model, replica)
             for model, placed in self.placed.items()
             for replica in placed.record.replicas
         ]
-        # Targets load before they unload: what leaves still takes its room then.
-        asked.sort(key=lambda item: item[1].state is ReplicaState.LEAVING)
-        return sum(self._run_replica(model, replica) for model, replica in asked) > 0
+        # Targets load before they unload, so a leaving replica still takes its memory.
+        requested.sort(key=lambda item: item[1].state is ReplicaState.LEAVING)
+        return sum(self._run_replica(model, replica) for model, replica in requested) > 0
 
     def _run_replica(self, model: str, replica: Replica) -> bool:
         target = self.targets[replica.target]
--- a/packages/coordination/src/mimosaspur_coordination/engineport.py
+++ b/packages/coordination/src/mimosaspur_coordination/engineport.py
@@ -1,4 +1,4 @@
-"""Define the port to a model engine's administration."""
+"""Define the interface to a model engine's administration."""
 
 from typing import Protocol
 
@@ -9,16 +9,16 @@
 
 
 class EnginePort(Protocol):
-    """Ask and order one engine; every call raises EngineUnavailable when unanswered."""
+    """Administer one engine; every call raises EngineUnavailable if it gets no answer."""
 
     def state(self) -> EngineState:
-        """Return the engine's whole report."""
+        """Return the engine's full report."""
         ...
 
     def load(self) -> EngineLoad:
-        """Return the engine's view of its load."""
+        """Return the load that the engine reports."""
         ...
 
     def order(self, order: EngineOrder) -> OrderState:
-        """Give an order; raise OrderFenced or OrderRefused when it surely takes no effect."""
+        """Send an order; raise OrderFenced or OrderRefused if it certainly has no effect."""
         ...
--- a/packages/coordination/src/mimosaspur_coordination/eviction.py
+++ b/packages/coordination/src/mimosaspur_coordination/eviction.py
@@ -1,4 +1,4 @@
-"""Make room for a model that finds none, without breaking a last replica."""
+"""Free memory for a model by retiring or moving replicas, never a last one."""
 
 from dataclasses import dataclass
 from dataclasses import field
@@ -14,34 +14,34 @@
 
 @dataclass(slots=True)
 class EvictionPlan:
-    """Say what must leave one target, and move away from it first, to give room there."""
+    """List the replicas to retire from one target, and those to move elsewhere first."""
 
     removals: list[tuple[str, Replica]] = field(default_factory=list)
     moves: list[tuple[ModelEntry, str]] = field(default_factory=list)
     pending_moves: int = 0
 
     def cost(self) -> tuple[int, int]:
-        """Return what to compare ways by: moves first, then replicas taken away."""
+        """Return the sort key: moves first, then removals."""
         return (len(self.moves) + self.pending_moves, len(self.removals))
 
 
 def make_room(draft: Draft, entry: ModelEntry) -> bool:
-    """Begin the cheapest way to room for an entry; return False if there is none."""
+    """Start the cheapest plan that frees memory for an entry; return False if there is none."""
     if _has_unwanted_replicas(draft, entry):
-        # Their room comes without any move; a target that never gives it stops being alive.
+        # These free their memory without any move; a target that doesn't is declared dead.
         return True
-    tries = [_EvictionSearch(draft, entry, room) for room in draft.candidates(entry)]
-    ways = [tried.plan for tried in tries if tried.find_by_removals()]
-    # A way without moves always costs less, and is far quicker to find.
-    ways = ways or [tried.plan for tried in tries if tried.find_by_moves()]
-    if not ways:
+    searches = [_EvictionSearch(draft, entry, room) for room in draft.candidates(entry)]
+    plans = [search.plan for search in searches if search.find_by_removals()]
+    # A plan without moves always costs less, and is far quicker to find.
+    plans = plans or [search.plan for search in searches if search.find_by_moves()]
+    if not plans:
         return False
-    way = min(ways, key=EvictionPlan.cost)
-    for moved, target in way.moves:
-        draft.start_load(moved, target, f"it moves to give room to {entry.name}")
-    if not way.moves and not way.pending_moves:
-        for model, replica in way.removals:
-            draft.retire(model, replica, f"it gives room to {entry.name}")
+    plan = min(plans, key=EvictionPlan.cost)
+    for moved, target in plan.moves:
+        draft.start_load(moved, target, f"it moves to free memory for {entry.name}")
+    if not plan.moves and not plan.pending_moves:
+        for model, replica in plan.removals:
+            draft.retire(model, replica, f"it is retired to free memory for {entry.name}")
     return True
 
 
@@ -50,7 +50,7 @@
 
 
 class _EvictionSearch:
-    """Look for a way to give room to an entry on one target."""
+    """Search for a plan that frees memory for an entry on one target."""
 
     def __init__(self, draft: Draft, entry: ModelEntry, room: Bin) -> None:
         self.draft = draft
@@ -61,38 +61,38 @@
         self.other_bins: dict[str, Bin] = {}
 
     def find_by_removals(self) -> bool:
-        """Try with what leaves anyway and replicas that aren't needed."""
+        """Try with leaving and spare replicas only; return whether that is enough."""
         count = self.offer.enough(self.need)
         self.plan.removals = self.offer.surplus[:count]
         return count is not None
 
     def find_by_moves(self) -> bool:
-        """Try with moves besides; `by_surplus` must have failed before."""
+        """Try with moves too, after `find_by_removals` failed; return whether that is enough."""
         self.trial_bin = self.trial_bin.copy()
-        for held, replica in self.offer.residents:
-            if replica.state is not ReplicaState.READY or _is_spare(self.draft, held, replica):
+        for entry, replica in self.offer.residents:
+            if replica.state is not ReplicaState.READY or _is_spare(self.draft, entry, replica):
                 continue
-            if self._move(held, replica):
-                _release(self.draft, self.trial_bin, held, replica)
+            if self._move(entry, replica):
+                _release(self.draft, self.trial_bin, entry, replica)
                 if self.trial_bin.fits(self.need):
                     return True
         return False
 
-    def _move(self, held: ModelEntry, replica: Replica) -> bool:
-        if self.draft.loading(held.name):
+    def _move(self, entry: ModelEntry, replica: Replica) -> bool:
+        if self.draft.loading(entry.name):
             self.plan.pending_moves += 1
             return True
-        if replica.version != held.version:
-            # It is being replaced itself; its own turn will move it.
+        if replica.version != entry.version:
+            # It is being replaced, which will move it anyway.
             return False
-        target = self._find_other_target(held)
+        target = self._find_other_target(entry)
         if target is not None:
-            self.plan.moves.append((held, target))
+            self.plan.moves.append((entry, target))
         return target is not None
 
-    def _find_other_target(self, held: ModelEntry) -> str | None:
-        need = Need.of(held)
-        names = [room.target for room in self.draft.candidates_with_room(held)]
+    def _find_other_target(self, entry: ModelEntry) -> str | None:
+        need = Need.of(entry)
+        names = [room.target for room in self.draft.candidates_with_room(entry)]
         rooms = [self.other_bins.get(name, self.draft.bins[name]) for name in names]
         fitting = [
             item for item in rooms if item.target != self.trial_bin.target and item.fits(need)
@@ -114,26 +114,26 @@
 def _compute_offer(draft: Draft, room: Bin) -> Offer:
     residents = _residents(draft, room.target)
     trial = room.copy()
-    for held, replica in residents:
+    for entry, replica in residents:
         if replica.state is ReplicaState.LEAVING:
-            _release(draft, trial, held, replica)
+            _release(draft, trial, entry, replica)
     offer = Offer(residents, [], [trial])
-    for held, replica in residents:
-        if _is_spare(draft, held, replica):
+    for entry, replica in residents:
+        if _is_spare(draft, entry, replica):
             trial = trial.copy()
-            _release(draft, trial, held, replica)
-            offer.surplus.append((held.name, replica))
+            _release(draft, trial, entry, replica)
+            offer.surplus.append((entry.name, replica))
             offer.stages.append(trial)
     return offer
 
 
-def _release(draft: Draft, trial: Bin, held: ModelEntry, replica: Replica) -> None:
-    chosen = draft.layout(trial.target).get(f"{held.name}@{replica.version}", ())
-    trial.release(draft.need_of(held, replica), chosen)
+def _release(draft: Draft, trial: Bin, entry: ModelEntry, replica: Replica) -> None:
+    chosen = draft.layout(trial.target).get(f"{entry.name}@{replica.version}", ())
+    trial.release(draft.need_of(entry, replica), chosen)
 
 
 def _residents(draft: Draft, target: str) -> list[tuple[ModelEntry, Replica]]:
-    """Return the replicas on a target, the largest first; old versions count as the new."""
+    """Return the replicas on a target, largest first; old versions sort by the new entry."""
     models = draft.view.index.models
     found = [
         (models[name], replica)
@@ -146,9 +146,9 @@
 
 
 def _is_spare(draft: Draft, entry: ModelEntry, replica: Replica) -> bool:
-    """Tell whether a ready replica may go and leave another that serves as well."""
+    """Return whether a ready replica may be retired because another one still serves."""
     if replica.state is not ReplicaState.READY:
         return False
-    good = draft.up_to_date(entry)
+    up_to_date = draft.up_to_date(entry)
     others = [item for item in draft.live_ready(entry.name) if item != replica]
-    return len(good) > 1 if replica in good else bool(others)
+    return len(up_to_date) > 1 if replica in up_to_date else bool(others)
--- a/packages/coordination/src/mimosaspur_coordination/fit.py
+++ b/packages/coordination/src/mimosaspur_coordination/fit.py
@@ -1,4 +1,4 @@
-"""Check before a roll that a bundle fits and can be reached without breaking a model."""
+"""Check before a roll that a bundle fits and can be rolled with every model still served."""
 
 from collections.abc import Iterable
 
@@ -16,13 +16,13 @@
 from mimosaspur_state.settings import TargetKind
 
 DRY_RUN_CONCURRENT_LOADS = (DEFAULT_MAX_CONCURRENT_LOADS, 2, 1)
-"""Try with so many loads at once: which are ready first decides what room is left."""
+"""Numbers of concurrent loads to simulate: the order of completion affects the free memory."""
 
-NO_MIGRATION_ROOM = "there is no room beside what is in force, also with one other model moved"
+NO_MIGRATION_ROOM = "there is no room beside the bundle in force, even with one other model moved"
 
 
 class Packing:
-    """Hold which target carries which need, and the room left."""
+    """Track which target holds each model, and the free memory."""
 
     def __init__(self, bins: list[Bin]) -> None:
         self.bins = bins
@@ -37,7 +37,7 @@
         return False
 
     def remove(self, model: str) -> None:
-        """Give back what a model holds."""
+        """Release a model's memory."""
         need, room = self.placements.pop(model)
         room.release(need)
 
@@ -51,10 +51,10 @@
         return True
 
     def add_adapters(self, extra: Need, grown: Need) -> bool:
-        """Add adapters beside what a model holds, or else replace it; then remove the old."""
+        """Add adapters in place, or else replace the model; then release the old memory."""
         need, room = self.placements[extra.model]
         if not room.reserve(extra):
-            # The replica can't take it in where it is, so a whole one replaces it elsewhere.
+            # There is no room in place, so a complete replica replaces it elsewhere.
             return self.replace(grown)
         room.release(need)
         room.release(extra)
@@ -82,15 +82,15 @@
 
 
 def check_fit(bundle: Bundle, in_force: Bundle | None, targets: list[TargetStatus]) -> None:
-    """Raise BUNDLE_DOES_NOT_FIT if it lacks memory, or room to make before break."""
+    """Raise BUNDLE_DOES_NOT_FIT if memory is short, or too short for make-before-break."""
     bins = _bins(targets)
     lacking = pack(bins, _needs(bundle.models))
     if lacking:
-        raise _fit_error(lacking, bins, "the models together need more than there is")
+        raise _fit_error(lacking, bins, "the models together exceed the memory of all targets")
     if in_force is None:
         return
     if any(status.residents for status in targets):
-        # What targets report is truer than how the bundle in force would be packed.
+        # Reported statuses are more accurate than a packing of the bundle in force.
         for at_once in DRY_RUN_CONCURRENT_LOADS:
             stuck = DryRun(bundle, in_force, targets, max_concurrent_loads=at_once).find_unready()
             if stuck:
@@ -98,7 +98,7 @@
         return
     packing = Packing(_bins(targets))
     for need in largest_first(_needs(in_force.models)):
-        # What does not fit now is not held now, so it needs no room beside its new version.
+        # A model that doesn't fit now isn't loaded, so its old version needs no memory.
         packing.add(need)
     _check_transition(packing, bundle, in_force)
 
@@ -124,7 +124,7 @@
 
 
 def _fitting_first(packing: Packing, changed: list[ModelEntry]) -> Iterable[Need]:
-    """Yield what fits now first: each change may give room to the next."""
+    """Yield needs that fit now first: each change may free memory for the next."""
     waiting = list(largest_first(_needs(changed)))
     while waiting:
         fitting = (
@@ -138,13 +138,13 @@
 
 
 def _only_adapters_change(old: ModelEntry | None, new: ModelEntry, packing: Packing) -> bool:
-    """Tell whether a replica stays and at most its adapters change."""
+    """Return whether a placed model keeps its version, so that at most its adapters change."""
     return old is not None and old.version == new.version and new.name in packing.placements
 
 
 def _added_adapters(old: ModelEntry, new: ModelEntry) -> Need | None:
-    held = {adapter.resident() for adapter in old.adapters}
-    added = [item.memory_mb for item in new.adapters if item.resident() not in held]
+    present = {adapter.resident() for adapter in old.adapters}
+    added = [item.memory_mb for item in new.adapters if item.resident() not in present]
     return Need(new.name, sum(added), new.accelerators, new.domains) if added else None
 
 
--- a/packages/coordination/src/mimosaspur_coordination/generation.py
+++ b/packages/coordination/src/mimosaspur_coordination/generation.py
@@ -1,4 +1,4 @@
-"""Hold the bundle in force and never go back to an older one."""
+"""Track the bundle in force; its generation never decreases."""
 
 import json
 import threading
@@ -23,7 +23,7 @@
 
 
 class BundleHolder:
-    """Hold the newest bundle that this process has been shown."""
+    """Store the newest bundle that this process has received."""
 
     def __init__(self) -> None:
         self.index: BundleIndex | None = None
@@ -33,15 +33,15 @@
         self.last_request = (0, 0)
 
     def current(self) -> BundleIndex | None:
-        """Return the bundle in force here, or None before the first."""
+        """Return the index of the bundle in force, or None before the first."""
         return self.index
 
     def generation(self) -> int:
-        """Return the generation in force here, 0 before the first."""
+        """Return the generation in force, 0 before the first."""
         return self.index.generation if self.index else 0
 
     def apply_if_newer(self, generation: int, bundle: Bundle) -> bool:
-        """Put a bundle in force if it is newer; tell whether it was."""
+        """Put a bundle in force if it is newer; return whether it was."""
         index = BundleIndex.build(generation, bundle)
         with self.lock:
             if generation <= self.generation():
@@ -54,34 +54,34 @@
         return True
 
     def wait_for(self, generation: int, timeout_s: float) -> bool:
-        """Wait until a generation or a newer one is in force; tell whether it is."""
+        """Wait until a generation or a newer one is in force; return whether it is."""
         with self.lock:
             return self.changed.wait_for(lambda: self.generation() >= generation, timeout_s)
 
     def should_request(self, generation: int, now_ms: int) -> bool:
-        """Tell whether to ask a peer that is ahead; one of many peers is asked at a time."""
+        """Return whether to request a newer bundle from a peer, one peer at a time."""
         with self.lock:
             if generation <= self.generation():
                 return False
-            asked, at_ms = self.last_request
-            if generation <= asked and now_ms - at_ms < PEER_REQUEST_RETRY_MS:
+            requested, requested_ms = self.last_request
+            if generation <= requested and now_ms - requested_ms < PEER_REQUEST_RETRY_MS:
                 return False
             self.last_request = (generation, now_ms)
             return True
 
     def encode_current(self) -> tuple[int, bytes] | None:
-        """Return the generation and the bundle packed for a peer."""
+        """Return the generation and the compressed bundle, or None before the first."""
         index = self.index
         if index is None:
             return None
         return index.generation, zlib.compress(json.dumps(index.bundle.to_value()).encode())
 
     def apply_encoded(self, generation: int, packed: bytes) -> bool:
-        """Take a peer's bundle; tell whether it was newer and well formed."""
+        """Apply a peer's compressed bundle; return whether it was valid and newer."""
         try:
             bundle = bundle_from_value(json.loads(zlib.decompress(packed)))
         except (zlib.error, ValueError, MimosaspurError) as error:
-            log(PART, "Dropped a peer's bundle that can't be read.", error=str(error))
+            log(PART, "Ignored an invalid bundle from a peer.", error=str(error))
             return False
         return self.apply_if_newer(generation, bundle)
 
@@ -96,13 +96,13 @@
         self.wake = threading.Event()
 
     def on_change(self, item: StoredObject) -> None:
-        """Take note of a change under the mirror's prefixes."""
+        """Handle a change under the mirror's prefixes."""
         if item.key == keys.HEAD and item.value is not None:
             self.latest_head = Head.from_value(item.value)
             self.wake.set()
 
     def run(self, stop: threading.Event) -> None:
-        """Fetch whatever the head names until told to stop."""
+        """Fetch the bundle that the head names until stopped."""
         while not stop.is_set():
             self.wake.wait(1)
             self.wake.clear()
@@ -119,10 +119,14 @@
             self.wake.set()
             return
         if stored is None:
-            log(PART, "The head names a bundle that is absent.", bundle=roll.bundle)
+            log(PART, "The head names a bundle that doesn't exist; retrying.", bundle=roll.bundle)
             return
         written = WrittenBundle.from_value(stored.value)
         if written.digest != roll.digest:
-            log(PART, "The bundle is not the one that was rolled.", bundle=roll.bundle)
+            log(
+                PART,
+                "The stored bundle's digest differs from the rolled one; retrying.",
+                bundle=roll.bundle,
+            )
             return
         self.holder.apply_if_newer(roll.generation, written.bundle)
--- a/packages/coordination/src/mimosaspur_coordination/layout.py
+++ b/packages/coordination/src/mimosaspur_coordination/layout.py
@@ -1,4 +1,4 @@
-"""Tell which accelerators of a target hold which resident."""
+"""Find which accelerators of a target hold each resident."""
 
 from collections.abc import Mapping
 from collections.abc import Sequence
@@ -14,7 +14,7 @@
 
 
 def layout_of(status: TargetStatus, needs: Mapping[str, Need]) -> Layout:
-    """Return accelerators by resident as the target reports them, or else worked out."""
+    """Return accelerators by resident as the target reports them, or else inferred."""
     if status.layout:
         return {name: accelerators_of(status, name) for name in status.layout}
     room = Bin.of(status)
@@ -23,18 +23,18 @@
 
 
 def accelerators_of(status: TargetStatus, resident: str) -> tuple[int, ...]:
-    """Return where a target says that a resident is; empty if it doesn't say.
+    """Return a resident's accelerators as its target reports them; empty if unknown.
 
-    An engine that is silent for a moment has no accelerators in its target's status.
+    While an engine doesn't answer, its target's status lists no accelerators.
     """
     chosen = status.layout.get(resident, ())
     return chosen if all(index < len(status.free_mb) for index in chosen) else ()
 
 
 def infer_layout(used_mb: Sequence[int], needs: Mapping[str, Need]) -> Layout:
-    """Return accelerators by resident that explain the memory in use; empty if none do.
+    """Return accelerators by resident that match the memory in use; empty if none do.
 
-    This is a guess for targets that don't report their layout: several may explain the same use.
+    An estimate for targets that don't report their layout: several layouts may match.
     """
     if len(needs) > MAX_INFERRED_RESIDENTS:
         return {}
--- a/packages/coordination/src/mimosaspur_coordination/naive.py
+++ b/packages/coordination/src/mimosaspur_coordination/naive.py
@@ -1,4 +1,4 @@
-"""Plan as simply as can be, for measurements to compare with: reload everything that changed."""
+"""Plan without make-before-break, as a baseline for measurements."""
 
 from random import Random
 
@@ -14,7 +14,7 @@
 
 
 def plan_naively(view: PlannerView, bucket: RateLimiter, random: Random) -> list[RecordChange]:
-    """Return changes that break before they make and put loads on targets at random."""
+    """Return break-before-make changes that place loads on random targets."""
     draft = Draft(view, bucket)
     retire_unwanted(draft)
     for entry in view.index.models.values():
@@ -32,8 +32,8 @@
         elif replica.version == entry.version and draft.is_staying(replica):
             continue
         elif replica.state is ReplicaState.READY:
-            # A target keeps a last ready replica, so this policy takes it out of the record.
-            draft.drop(entry.name, replica, "it is not what the bundle names")
+            # A target doesn't unload a last ready replica, so it is removed from the record.
+            draft.drop(entry.name, replica, "it is outdated or its target is draining")
 
 
 def _load_on_random_target(draft: Draft, entry: ModelEntry, random: Random) -> None:
--- a/packages/coordination/src/mimosaspur_coordination/orders.py
+++ b/packages/coordination/src/mimosaspur_coordination/orders.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Assignment:
-    """Join a replica on this target with its record and, at the served version, its entry."""
+    """Pair a replica on this target with its record and, for the served version, its entry."""
 
     item: StoredObject
     record: PlacementRecord
@@ -27,17 +27,17 @@
     entry: ModelEntry | None
 
     def base_id(self) -> str:
-        """Return the engine's name for its base."""
+        """Return the engine's id of the base model."""
         return f"{self.record.model}@{self.version}"
 
     def adapter_ids(self) -> list[str]:
-        """Return the engine's names for the adapters it must have."""
+        """Return the engine's ids of the adapters that the entry names."""
         return [item.resident() for item in self.entry.adapters] if self.entry else []
 
 
 @dataclass(slots=True, frozen=True)
 class PlannedLoad:
-    """Say what to load next for a replica; an adapter goes where its base is."""
+    """Describe the next load of a replica; an adapter is loaded where its base is."""
 
     resident: str
     base: str | None
@@ -46,14 +46,14 @@
     headroom_mb: int = 0
 
     def kind(self) -> ResidentKind:
-        """Return the kind that an order names."""
+        """Return the resident kind for the order."""
         return ResidentKind.ADAPTER if self.base else ResidentKind.MODEL
 
 
 def assignments_on(
     records: Iterable[tuple[StoredObject, PlacementRecord]], target: str, index: BundleIndex
 ) -> list[Assignment]:
-    """Return the replicas on a target, the most urgent models first."""
+    """Return the replicas on a target, the most urgent priority first."""
     found = []
     for item, record in records:
         served = index.models.get(record.model)
@@ -63,41 +63,45 @@
     return sorted(found, key=_priority_key)
 
 
-def is_complete(held: Assignment, report: EngineState) -> bool:
-    """Tell whether a replica's base and all its adapters are ready."""
-    if held.entry is None or not report.ready(held.base_id()):
+def is_complete(assignment: Assignment, report: EngineState) -> bool:
+    """Return whether a replica's base and all its adapters are ready."""
+    if assignment.entry is None or not report.ready(assignment.base_id()):
         return False
-    return all(_is_adapter_ready(report, name, held.base_id()) for name in held.adapter_ids())
+    return all(
+        _is_adapter_ready(report, name, assignment.base_id()) for name in assignment.adapter_ids()
+    )
 
 
-def next_load(held: Assignment, report: EngineState) -> PlannedLoad | None:
-    """Return what a staying replica needs next: its base, then its adapters one by one."""
-    entry = held.entry
-    if entry is None or held.state is ReplicaState.LEAVING:
+def next_load(assignment: Assignment, report: EngineState) -> PlannedLoad | None:
+    """Return the next load of a replica that isn't LEAVING: its base, then each adapter."""
+    entry = assignment.entry
+    if entry is None or assignment.state is ReplicaState.LEAVING:
         return None
-    if report.resident(held.base_id()) is None:
+    if report.resident(assignment.base_id()) is None:
         headroom_mb = entry.total_mb() - entry.memory_mb
-        return PlannedLoad(held.base_id(), None, entry.memory_mb, entry.accelerators, headroom_mb)
-    if not report.ready(held.base_id()) or _is_adapter_loading(report, held.base_id()):
+        return PlannedLoad(
+            assignment.base_id(), None, entry.memory_mb, entry.accelerators, headroom_mb
+        )
+    if not report.ready(assignment.base_id()) or _is_adapter_loading(report, assignment.base_id()):
         return None
     for adapter in entry.adapters:
         if report.resident(adapter.resident()) is None:
             return PlannedLoad(
-                adapter.resident(), held.base_id(), adapter.memory_mb, entry.accelerators
+                adapter.resident(), assignment.base_id(), adapter.memory_mb, entry.accelerators
             )
     return None
 
 
 def reserved_mb(assignments: Iterable[Assignment], ledger: MemoryLedger) -> list[int]:
-    """Return the memory on each accelerator that adapters of bases loaded here still need."""
-    promised = [0] * len(ledger.capacity_mb())
-    for held in assignments:
-        if held.entry is None or held.state is ReplicaState.LEAVING:
+    """Return the memory on each accelerator that loaded bases still need for adapters."""
+    reserved = [0] * len(ledger.capacity_mb())
+    for assignment in assignments:
+        if assignment.entry is None or assignment.state is ReplicaState.LEAVING:
             continue
-        missing = [it for it in held.entry.adapters if not ledger.counts(it.resident())]
-        for index in ledger.accelerators(held.base_id()):
-            promised[index] += sum(adapter.memory_mb for adapter in missing)
-    return promised
+        missing = [it for it in assignment.entry.adapters if not ledger.counts(it.resident())]
+        for index in ledger.accelerators(assignment.base_id()):
+            reserved[index] += sum(adapter.memory_mb for adapter in missing)
+    return reserved
 
 
 def ready_models(records: Iterable[PlacementRecord], index: BundleIndex) -> set[str]:
@@ -116,7 +120,7 @@
     """Return ready residents that no replica here needs, adapters before their bases."""
     adapters = []
     bases = []
-    wanted_bases = {held.base_id() for held in assignments}
+    wanted_bases = {assignment.base_id() for assignment in assignments}
     for item in report.residents:
         if item.state is not ResidentState.READY:
             continue
@@ -129,16 +133,16 @@
     return adapters + bases
 
 
-def residents_of(held: Assignment, report: EngineState) -> list[str]:
-    """Return the resident ids that make up a replica: its base and what sits on it."""
-    on_it = [item.id for item in report.residents if item.base == held.base_id()]
-    return [held.base_id(), *on_it]
+def residents_of(assignment: Assignment, report: EngineState) -> list[str]:
+    """Return the resident ids that make up a replica: its base and the adapters on it."""
+    on_it = [item.id for item in report.residents if item.base == assignment.base_id()]
+    return [assignment.base_id(), *on_it]
 
 
-def _priority_key(held: Assignment) -> tuple[int, str, str]:
-    # A replica outside the bundle needs no load, so its place in the order is free.
-    priority = held.entry.priority if held.entry else LOWEST_PRIORITY
-    return priority, held.record.model, held.version
+def _priority_key(assignment: Assignment) -> tuple[int, str, str]:
+    # A replica outside the bundle is never loaded, so its priority doesn't matter.
+    priority = assignment.entry.priority if assignment.entry else LOWEST_PRIORITY
+    return priority, assignment.record.model, assignment.version
 
 
 def _is_adapter_needed(
@@ -148,10 +152,12 @@
     index: BundleIndex,
     elsewhere: set[str],
 ) -> bool:
-    holder = next((held for held in assignments if held.base_id() == adapter.base), None)
+    holder = next(
+        (assignment for assignment in assignments if assignment.base_id() == adapter.base), None
+    )
     if holder is None:
         return False
-    # An older version's adapters serve with it until it has left.
+    # An older version keeps serving its adapters until it is unloaded.
     if holder.entry is None or adapter.id in holder.adapter_ids():
         return True
     name = adapter.id.rpartition("@")[0]
@@ -160,8 +166,8 @@
         return False
     if served.model.name == holder.entry.name:
         return not report.ready(served.resident())
-    if any(held.base_id() == served.model.resident() for held in assignments):
-        # A replica that was READY before the bundle changed loads its new adapters still.
+    if any(assignment.base_id() == served.model.resident() for assignment in assignments):
+        # A replica that was READY before the bundle changed may still be loading its new adapters.
         return not report.ready(served.resident())
     return served.model.name not in elsewhere
 
--- a/packages/coordination/src/mimosaspur_coordination/packing.py
+++ b/packages/coordination/src/mimosaspur_coordination/packing.py
@@ -1,4 +1,4 @@
-"""Find room for models on the accelerators of targets."""
+"""Pack models onto the accelerators of targets."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Need:
-    """State what one replica takes: memory on each of some accelerators of one target."""
+    """Describe what one replica takes: memory on each of several accelerators of one target."""
 
     model: str
     memory_mb: int
@@ -24,13 +24,13 @@
         return cls(entry.name, entry.total_mb(), entry.accelerators, entry.domains)
 
     def size(self) -> tuple[int, int]:
-        """Return the order in which to pack: the hardest to place is the largest."""
+        """Return the sort key for packing; a larger one is harder to place."""
         return (self.accelerators * self.memory_mb, self.memory_mb)
 
 
 @dataclass(slots=True)
 class Bin:
-    """Hold the memory that is free on each accelerator of one target."""
+    """Track the free memory on each accelerator of one target."""
 
     target: str
     domain: str
@@ -39,26 +39,26 @@
 
     @classmethod
     def of(cls, status: TargetStatus) -> "Bin":
-        """Return the room that a target reports; none if its report is not of one moment."""
+        """Return the memory that a target reports; none if capacity and free memory don't match."""
         whole = len(status.capacity_mb) == len(status.free_mb)
         capacity_mb = status.capacity_mb if whole else ()
         free_mb = list(status.free_mb) if whole else []
         return cls(status.instance, status.failure_domain, capacity_mb, free_mb)
 
     def copy(self) -> "Bin":
-        """Return a copy to try things on."""
+        """Return a copy for trial placements."""
         return Bin(self.target, self.domain, self.capacity_mb, list(self.free_mb))
 
     def allows(self, need: Need) -> bool:
-        """Tell whether the need may be placed in this failure domain."""
+        """Return whether the need permits this failure domain."""
         return not need.domains or self.domain in need.domains
 
     def fits(self, need: Need) -> bool:
-        """Tell whether the need finds room here."""
+        """Return whether enough accelerators have memory for the need."""
         return sum(free >= need.memory_mb for free in self.free_mb) >= need.accelerators
 
     def reserve(self, need: Need) -> bool:
-        """Take the room for the need; return False and change nothing if there is none."""
+        """Reserve memory for the need; return False and change nothing if it doesn't fit."""
         chosen = choose_accelerators(self.free_mb, need.memory_mb, need.accelerators)
         if chosen is None:
             return False
@@ -67,14 +67,14 @@
         return True
 
     def force_reserve(self, need: Need, chosen: tuple[int, ...] = ()) -> None:
-        """Count out room that is promised already, wherever it may be, even below zero."""
+        """Reserve memory that is already committed, even if free memory becomes negative."""
         if not chosen and self.reserve(need):
             return
         for index in chosen or _emptiest_first(self.free_mb)[: need.accelerators]:
             self.free_mb[index] -= need.memory_mb
 
     def release(self, need: Need, chosen: tuple[int, ...] = ()) -> None:
-        """Count in the room of a replica that leaves; if unknown, the fullest get it."""
+        """Release a replica's memory; on the fullest accelerators if its own are unknown."""
         if chosen:
             for index in chosen:
                 self.free_mb[index] += need.memory_mb
@@ -86,7 +86,7 @@
             self.free_mb[index] += need.memory_mb
 
     def max_free_mb(self, accelerators: int) -> int:
-        """Return the most memory that is free on each of so many accelerators."""
+        """Return the most memory that is free on each of the given number of accelerators."""
         if len(self.free_mb) < accelerators:
             return 0
         return sorted(self.free_mb, reverse=True)[accelerators - 1]
@@ -99,7 +99,7 @@
 def choose_accelerators(
     free_mb: Sequence[int], memory_mb: int, accelerators: int
 ) -> tuple[int, ...] | None:
-    """Choose the accelerators with the least room that is enough; None if there are too few."""
+    """Choose the fullest accelerators with enough free memory; None if there are too few."""
     fitting = [index for index, free in enumerate(free_mb) if free >= memory_mb]
     if len(fitting) < accelerators:
         return None
@@ -108,17 +108,17 @@
 
 
 def largest(needs: Iterable[Need], count: int) -> list[Need]:
-    """Return so many of the needs that are the hardest to place, the hardest first."""
+    """Return the given number of needs that are hardest to place, hardest first."""
     return nlargest(count, needs, key=lambda item: (item.size(), item.model))
 
 
 def largest_first(needs: Iterable[Need]) -> list[Need]:
-    """Return needs in the order in which to pack them."""
+    """Return needs sorted for packing, hardest to place first."""
     return sorted(needs, key=lambda item: (item.size(), item.model), reverse=True)
 
 
 def pack(bins: Iterable[Bin], needs: Iterable[Need]) -> Need | None:
-    """Take room for all needs, first fit, largest first; return the first that finds none."""
+    """Reserve memory for all needs, first-fit decreasing; return the first that doesn't fit."""
     ordered = list(bins)
     for need in largest_first(needs):
         if not any(room.allows(need) and room.reserve(need) for room in ordered):
--- a/packages/coordination/src/mimosaspur_coordination/pendingentries.py
+++ b/packages/coordination/src/mimosaspur_coordination/pendingentries.py
@@ -1,4 +1,4 @@
-"""Find the models that need a closer look; all others are as the bundle wants them."""
+"""Select the models that the planner has to examine; all others match the bundle."""
 
 from mimosaspur_coordination.adapterroom import lacks_adapter_room
 from mimosaspur_coordination.demand import SCALE_DOWN_WINDOWS
@@ -10,13 +10,13 @@
 
 
 def entries_to_place(view: PlannerView) -> list[ModelEntry]:
-    """Return the entries whose record isn't settled."""
+    """Return the entries whose placement doesn't match the bundle."""
     staying = view.alive.keys() - view.draining
     return [entry for entry in view.index.models.values() if not _is_placed(view, entry, staying)]
 
 
 def entries_to_scale(view: PlannerView) -> list[ModelEntry]:
-    """Return the entries whose demand may ask for one replica more or fewer."""
+    """Return the entries whose demand may need one replica more or fewer."""
     return [entry for entry in view.index.models.values() if _may_scale(view, entry)]
 
 
@@ -46,6 +46,6 @@
     placed = view.placed.get(entry.name)
     if demand.refused > view.move_cost or placed is None:
         return True
-    # Replicas that don't count are left out later: this only spares the models without need.
-    good = [item for item in placed.record.ready() if item.version == entry.version]
-    return demand.requests - window_capacity(view, good) > view.move_cost
+    # A cheap filter; the planner itself leaves out replicas that don't count.
+    up_to_date = [item for item in placed.record.ready() if item.version == entry.version]
+    return demand.requests - window_capacity(view, up_to_date) > view.move_cost
--- a/packages/coordination/src/mimosaspur_coordination/planner.py
+++ b/packages/coordination/src/mimosaspur_coordination/planner.py
@@ -1,4 +1,4 @@
-"""Decide which target is to hold which model."""
+"""Plan which targets hold which models."""
 
 from collections.abc import Iterator
 from itertools import chain
@@ -26,13 +26,13 @@
 
 MAX_TRIED_TARGETS = 4
 MAX_LOOKAHEAD_MODELS = 24
-"""Look this far ahead at the hardest to place: all of them would cost the square of the models."""
+"""Look ahead only at the hardest to place: the cost is quadratic in the number of models."""
 
 
 def plan(view: PlannerView, bucket: RateLimiter) -> list[RecordChange]:
     """Return the next changes, most urgent first; each is safe alone and in any order."""
     if any(placed.record.generation > view.index.generation for placed in view.placed.values()):
-        # Another planner knows a newer bundle: ours would undo its moves.
+        # Another planner has applied a newer bundle; changes for this one would revert its moves.
         return []
     draft = Draft(view, bucket)
     entries = _by_urgency(draft, entries_to_place(view))
@@ -43,7 +43,7 @@
         drop_obsolete_loads(draft, entry)
         retire_replaced(draft, entry)
     if not waits:
-        # Room that a model without any replica waits for must not go to a second replica.
+        # Memory that a model without any replica waits for must not go to an extra replica.
         _add_missing_replicas(draft, entries)
         _scale_to_demand(draft, _by_urgency(draft, entries_to_scale(view)))
     return draft.changes()
@@ -60,7 +60,7 @@
 
 
 def _load_missing(draft: Draft, entries: list[ModelEntry]) -> bool:
-    """Load what has no replica of the wanted version; tell whether one waits for room."""
+    """Load models without a replica of the wanted version; return whether one has to wait."""
     missing = [
         entry for entry in entries if not draft.up_to_date(entry) and not _is_loading(draft, entry)
     ]
@@ -82,7 +82,7 @@
     rest = largest([Need.of(other) for other in later], MAX_LOOKAHEAD_MODELS)
     room, leaves_room = best_target(draft, entry, rest)
     if not leaves_room and pack(_bins(draft), [Need.of(entry), *rest]) is None:
-        # All fit only if a larger one is placed first: a load's time is less than never.
+        # All fit only if a larger model is placed first, so this one waits for it.
         return False
     return draft.start_load(entry, room.target, "no replica of this version is ready")
 
@@ -101,10 +101,10 @@
 
 
 def best_extra_target(draft: Draft, entry: ModelEntry) -> Bin | None:
-    """Return the best target for a further replica.
+    """Return the best target for an extra replica.
 
-    A target that still loads a model's only replica gets none: it lays out its accelerators
-    in the order in which it sees its loads, and the further one could come in the way.
+    A target that loads a model's only replica gets none: it assigns accelerators in the order
+    in which it receives loads, so the extra replica could take the other one's memory.
     """
     fitting = [
         room
@@ -123,7 +123,7 @@
 
     def preference(room: Bin) -> tuple[bool, bool, int, int, str]:
         failed = (entry.name, room.target) in draft.view.failed_ms
-        # An engine holds an adapter once, so not beside an older version of its model.
+        # An engine can't hold an adapter twice, as beside an older version of its model.
         clashes = not adapters.isdisjoint(draft.view.alive[room.target].residents)
         busy = not draft.can_accept_load(room.target)
         spread = domains.count(room.domain)
@@ -135,7 +135,7 @@
 def _first_fit_target(
     draft: Draft, fitting: list[Bin], need: Need, rest: list[Need]
 ) -> Iterator[Bin]:
-    """Yield the target that packing all by size gives this need, worked out only when asked."""
+    """Yield the target that first-fit decreasing gives this need; lazy because it is costly."""
     bins = _bins(draft)
     larger = [other for other in rest if (other.size(), other.model) > (need.size(), need.model)]
     if pack(bins, larger) is not None:
@@ -166,12 +166,12 @@
 
 
 def _replica_count(draft: Draft, entry: ModelEntry) -> int:
-    coming = [item for item in draft.loading(entry.name) if draft.is_staying(item)]
-    return len(draft.up_to_date(entry)) + len(coming)
+    loading = [item for item in draft.loading(entry.name) if draft.is_staying(item)]
+    return len(draft.up_to_date(entry)) + len(loading)
 
 
 def _add_missing_replicas(draft: Draft, entries: list[ModelEntry]) -> None:
-    """Load up to the replicas that the bundle names."""
+    """Load models that have fewer replicas than the bundle names."""
     for entry in entries:
         if draft.remaining_loads == 0:
             return
@@ -183,20 +183,24 @@
 
 
 def _scale_to_demand(draft: Draft, entries: list[ModelEntry]) -> None:
-    """Add replicas that earn more deadlines than a move costs; take away those long unused."""
+    """Add replicas where unserved demand exceeds the move cost; retire those long unused."""
     for entry in entries:
-        good = draft.up_to_date(entry)
-        if not good or len(good) < entry.replicas or draft.loading(entry.name):
+        up_to_date = draft.up_to_date(entry)
+        if not up_to_date or len(up_to_date) < entry.replicas or draft.loading(entry.name):
             continue
-        if not all(is_stable(draft.view, replica.target) for replica in good):
+        if not all(is_stable(draft.view, replica.target) for replica in up_to_date):
             continue
-        lost = unserved_requests(draft.view, entry, good)
-        if lost > draft.view.move_cost and _replica_count(draft, entry) < entry.ceiling():
+        excess = unserved_requests(draft.view, entry, up_to_date)
+        if excess > draft.view.move_cost and _replica_count(draft, entry) < entry.ceiling():
             room = best_extra_target(draft, entry)
             if room and is_stable(draft.view, room.target):
-                draft.start_load(entry, room.target, f"{lost:.0f} requests a window find no place")
-        elif len(good) > entry.replicas and _is_demand_long_low(draft, entry):
-            fullest = min(good, key=lambda item: draft.bins[item.target].total_free_mb())
+                draft.start_load(
+                    entry,
+                    room.target,
+                    f"{excess:.0f} requests per window are refused or exceed its capacity",
+                )
+        elif len(up_to_date) > entry.replicas and _is_demand_long_low(draft, entry):
+            fullest = min(up_to_date, key=lambda item: draft.bins[item.target].total_free_mb())
             draft.retire(entry.name, fullest, "its demand stayed low")
 
 
--- a/packages/coordination/src/mimosaspur_coordination/recordcache.py
+++ b/packages/coordination/src/mimosaspur_coordination/recordcache.py
@@ -1,4 +1,4 @@
-"""Decode placement records once for each version that a mirror holds."""
+"""Cache decoded placement records, one for each version in a mirror."""
 
 import threading
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DecodedRecord:
-    """Join an object with the record that it holds; None if it can't be read."""
+    """Pair a stored object with its decoded record, None if it is invalid."""
 
     item: StoredObject
     record: PlacementRecord | None
@@ -24,14 +24,14 @@
 
 @dataclass(slots=True, frozen=True)
 class RecordListing:
-    """Hold what is under a prefix, as of a number of changes of the mirror."""
+    """Cache the records under a prefix at one change count of the mirror."""
 
     changes: int
     records: tuple[tuple[StoredObject, PlacementRecord], ...]
 
 
 class RecordCache:
-    """Keep the decoded records of a mirror; safe from any thread."""
+    """Cache the decoded records of a mirror; thread-safe."""
 
     def __init__(self, mirror: Mirror) -> None:
         self.mirror = mirror
@@ -40,7 +40,7 @@
         self.lock = threading.Lock()
 
     def get(self, key: str) -> PlacementRecord | None:
-        """Return a record as mirrored, or None; raise ValidationError if it is unreadable."""
+        """Return the mirrored record or None; raise ValidationError if it is invalid."""
         item = self.mirror.get(key)
         if item is None:
             with self.lock:
@@ -49,22 +49,22 @@
         return self._require_record(item)
 
     def all(self, prefix: str) -> list[tuple[StoredObject, PlacementRecord]]:
-        """Return the records under a prefix by key; raise ValidationError if one is unreadable."""
+        """Return the records under a prefix by key; raise ValidationError if one is invalid."""
         items = self.mirror.under(prefix)
         found = [(item, self._require_record(item)) for item in items]
         self._evict_absent(prefix, items)
         return found
 
     def readable(self, prefix: str) -> tuple[tuple[StoredObject, PlacementRecord], ...]:
-        """Return the records under a prefix by key, without unreadable ones, which are logged.
+        """Return the valid records under a prefix by key; log the invalid ones.
 
-        While nothing changes in the mirror it is the same tuple.
+        Returns the same tuple until the mirror changes.
         """
-        # Counted before the reading: a change in between is then read twice, never missed.
+        # Read the count first: a concurrent change is then read twice, never missed.
         changes = self.mirror.changes
-        listed = self.listings.get(prefix)
-        if listed is not None and listed.changes == changes:
-            return listed.records
+        listing = self.listings.get(prefix)
+        if listing is not None and listing.changes == changes:
+            return listing.records
         items = self.mirror.under(prefix)
         decoded = [self._decoded(item) for item in items]
         found = tuple((it.item, it.record) for it in decoded if it.record is not None)
@@ -74,14 +74,14 @@
 
     def _require_record(self, item: StoredObject) -> PlacementRecord:
         record = self._decoded(item).record
-        # Who must not go on without it gets the reader's own error.
+        # Decoding an invalid record again raises its ValidationError.
         return placement_from_value(item.value) if record is None else record
 
     def _decoded(self, item: StoredObject) -> DecodedRecord:
-        known = self.decoded.get(item.key)
-        # A mirror keeps one object for each version, and a key made anew may count anew.
-        if known is not None and known.item is item:
-            return known
+        cached = self.decoded.get(item.key)
+        # Compare by identity: a recreated key may reuse version numbers.
+        if cached is not None and cached.item is item:
+            return cached
         with self.lock:
             decoded = DecodedRecord(item, _decode_record(item))
             self.decoded[item.key] = decoded
@@ -99,5 +99,5 @@
     try:
         return placement_from_value(item.value)
     except msgspec.ValidationError as error:
-        log(PART, "A placement record is unreadable.", key=item.key, error=str(error))
+        log(PART, "Failed to decode a placement record.", key=item.key, error=str(error))
         return None
--- a/packages/coordination/src/mimosaspur_coordination/regions.py
+++ b/packages/coordination/src/mimosaspur_coordination/regions.py
@@ -1,4 +1,4 @@
-"""Read what every region's targets report, for checks that an operator's step needs."""
+"""Read target statuses by region and check that a bundle fits in every region."""
 
 from urllib.parse import unquote
 
@@ -22,14 +22,14 @@
 
 
 def region_of(key: str) -> str:
-    """Return the region that a key names in its second segment."""
+    """Return the region in a key's second segment."""
     return unquote(key.split("/")[1])
 
 
 def check_fit_everywhere(
     store: ObjectStore, bundle: Bundle, in_force: Bundle | None, *, allow_unknown_status: bool
 ) -> None:
-    """Raise BUNDLE_DOES_NOT_FIT unless every region has room, each planned by itself."""
+    """Raise BUNDLE_DOES_NOT_FIT unless the bundle fits in each region separately."""
     regions = statuses_by_region(store)
     if not regions and not allow_unknown_status:
         detail = "No target's status is known. Start targets, or roll --without-fit-check."
--- a/packages/coordination/src/mimosaspur_coordination/replicaremoval.py
+++ b/packages/coordination/src/mimosaspur_coordination/replicaremoval.py
@@ -1,4 +1,4 @@
-"""Take away replicas: unwanted, dead, stuck, of old versions and on targets that leave."""
+"""Remove replicas that are unwanted, dead, timed out, outdated or on draining targets."""
 
 from mimosaspur_coordination.draft import Draft
 from mimosaspur_state.bundle import ModelEntry
@@ -7,7 +7,7 @@
 
 
 def retire_unwanted(draft: Draft) -> None:
-    """Take away the models that the bundle in force no longer names."""
+    """Remove the models that the bundle in force no longer names."""
     for model in list(draft.records):
         if model in draft.view.index.models:
             continue
@@ -23,7 +23,7 @@
 
 
 def drop_dead(draft: Draft, entry: ModelEntry) -> None:
-    """Drop replicas of dead targets: loads at once, others once a replacement is ready."""
+    """Drop replicas of dead targets: loads immediately, others once a replacement is ready."""
     replaced = bool(draft.up_to_date(entry))
     for replica in draft.record(entry.name).replicas:
         if draft.is_live(replica):
@@ -33,24 +33,24 @@
 
 
 def drop_obsolete_loads(draft: Draft, entry: ModelEntry) -> None:
-    """Drop loads of other versions, on targets that leave, and those that take too long."""
+    """Drop loads of other versions, on draining targets, and those that timed out."""
     for replica in draft.loading(entry.name):
         if replica.version != entry.version:
             draft.drop(entry.name, replica, f"version {replica.version} is no longer wanted")
         elif not draft.is_staying(replica):
-            draft.drop(entry.name, replica, f"target {replica.target} is leaving")
+            draft.drop(entry.name, replica, f"target {replica.target} is draining or dead")
         elif _is_load_timed_out(draft, entry, replica):
             draft.drop(entry.name, replica, f"target {replica.target} did not load it in time")
 
 
 def retire_replaced(draft: Draft, entry: ModelEntry) -> None:
-    """Have replicas go that are old, lack room or leave, never before one replaces them."""
-    good = draft.up_to_date(entry)
-    if not good:
+    """Retire replicas that are outdated, draining or lack adapter memory, once replaced."""
+    up_to_date = draft.up_to_date(entry)
+    if not up_to_date:
         return
     ready = draft.live_ready(entry.name)
-    outgoing = [replica for replica in ready if replica not in good]
-    # Those on leaving targets go first: their instances wait for it.
+    outgoing = [replica for replica in ready if replica not in up_to_date]
+    # Replicas on draining targets go first: their instances wait for it.
     outgoing.sort(key=draft.is_staying)
     surplus = len(ready) - entry.replicas
     if surplus <= 0 and outgoing and not _can_add_replica(draft, entry):
@@ -60,11 +60,11 @@
 
 
 def _has_pending_handover(draft: Draft, model: str, replica: Replica) -> bool:
-    """Tell whether another model takes over an adapter of it, and is not ready with it yet."""
+    """Return whether another model takes over one of its adapters and is not ready yet."""
     former = draft.view.former_entries.get(f"{model}@{replica.version}")
     for adapter in former.adapters if former else ():
         served = draft.view.index.served.get(adapter.name)
-        # An engine can't hold one resident twice: the same version waits until this one left.
+        # An engine can't hold a resident twice: the same version waits for this unload.
         if served is None or served.resident() == adapter.resident():
             continue
         if not draft.up_to_date(served.model) and _can_add_replica(draft, served.model):
@@ -79,5 +79,5 @@
 
 
 def _can_add_replica(draft: Draft, entry: ModelEntry) -> bool:
-    """Tell whether another replica is on its way or finds room."""
+    """Return whether another replica is loading or has room."""
     return bool(draft.loading(entry.name)) or draft.has_room(entry)
--- a/packages/coordination/src/mimosaspur_coordination/replicas.py
+++ b/packages/coordination/src/mimosaspur_coordination/replicas.py
@@ -21,7 +21,7 @@
 def mark_ready(
     store: ObjectStore, item: StoredObject, target: str, version: str, *, on_update: OnUpdate
 ) -> bool:
-    """Turn a replica from LOAD to READY; tell whether it is READY; raise StoreUnavailable."""
+    """Change a replica from LOAD to READY; return whether it is READY; raise StoreUnavailable."""
 
     def edit(record: PlacementRecord) -> PlacementRecord | None:
         if _state_of(record, target, version) is not ReplicaState.LOAD:
@@ -35,7 +35,7 @@
 def mark_lost(
     store: ObjectStore, item: StoredObject, target: str, version: str, *, on_update: OnUpdate
 ) -> None:
-    """Turn a READY replica that is gone back to LOAD, drop a LEAVING one; may raise."""
+    """Change a lost READY replica back to LOAD, remove a LEAVING one; raise StoreUnavailable."""
 
     def edit(record: PlacementRecord) -> PlacementRecord | None:
         state = _state_of(record, target, version)
@@ -57,7 +57,7 @@
     index: BundleIndex,
     on_update: OnUpdate,
 ) -> bool:
-    """Remove a LEAVING replica that is replaced; tell whether it is out; raise StoreUnavailable."""
+    """Remove a replaced LEAVING replica; return whether it is removed; raise StoreUnavailable."""
 
     def edit(record: PlacementRecord) -> PlacementRecord | None:
         if _state_of(record, target, version) is not ReplicaState.LEAVING:
@@ -71,7 +71,7 @@
 
 
 def is_replaced(record: PlacementRecord, target: str, version: str, index: BundleIndex) -> bool:
-    """Tell whether a model can do without one replica: another is READY, or it isn't served."""
+    """Return whether a replica is dispensable: another is READY, or the model isn't served."""
     entry = index.models.get(record.model)
     if entry is None:
         return True
@@ -91,34 +91,34 @@
 
 
 def _update(
-    store: ObjectStore, item: StoredObject, edit: Edit, learn: OnUpdate
+    store: ObjectStore, item: StoredObject, edit: Edit, on_update: OnUpdate
 ) -> PlacementRecord | None:
-    """Write an edit and return the record as it then stands, None if it was deleted."""
+    """Apply an edit by conditional update; return the resulting record, None if deleted."""
     current: StoredObject | None = item
     for _ in range(MAX_ATTEMPTS):
         if current is None:
             return None
         record = placement_from_value(current.value)
         wanted = edit(record)
-        # An edit that has nothing to do may rest on an old copy: the first is only a hint.
+        # The given copy may be stale, so a no-op is confirmed by a fresh read.
         if wanted is None and current is not item:
             return record
-        if wanted is not None and _try_write(store, current, wanted, learn):
+        if wanted is not None and _try_write(store, current, wanted, on_update):
             return wanted
         current = store.get(item.key)
         if current is not None:
-            learn(current)
-    raise StoreUnavailable(f"{item.key}: not settled after {MAX_ATTEMPTS} tries")
+            on_update(current)
+    raise StoreUnavailable(f"{item.key}: update not confirmed after {MAX_ATTEMPTS} attempts")
 
 
 def _try_write(
-    store: ObjectStore, current: StoredObject, wanted: PlacementRecord, learn: OnUpdate
+    store: ObjectStore, current: StoredObject, wanted: PlacementRecord, on_update: OnUpdate
 ) -> bool:
     value = wanted.to_value()
     try:
         version = store.update(current.key, value, current.version)
     except (VersionConflict, StoreUnavailable):
-        # Reading back settles it: at the same version it is written again.
+        # The caller reads the record back and retries if its version is unchanged.
         return False
-    learn(StoredObject(current.key, version, value))
+    on_update(StoredObject(current.key, version, value))
     return True
--- a/packages/coordination/src/mimosaspur_coordination/rolls.py
+++ b/packages/coordination/src/mimosaspur_coordination/rolls.py
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RollResult:
-    """Tell which roll is in force; already says that it was so before."""
+    """Describe the roll in force; `already` means that it was in force before."""
 
     roll: Roll
     already: bool
@@ -41,7 +41,7 @@
 def write_bundle(
     store: ObjectStore, clock: Clock, bundle: Bundle, *, operator: str
 ) -> WrittenBundle:
-    """Write a checked bundle against the generation in force; raise BUNDLE_EXISTS, BAD_BUNDLE."""
+    """Write a valid bundle based on the generation in force; raise BUNDLE_EXISTS, BAD_BUNDLE."""
     step = Step(operator, Action.WRITE, bundle.name)
     return audit.take(store, clock, step, lambda: _write(store, clock, bundle, operator))
 
@@ -60,10 +60,10 @@
     operator: str,
     without_fit_check: bool = False,
 ) -> RollResult:
-    """Put an approved bundle in force, or say that it already is.
+    """Put an approved bundle in force, unless it already is.
 
     Raise UNKNOWN_BUNDLE, NOT_APPROVED, SUPERSEDED, BUNDLE_DOES_NOT_FIT, ROLL_CONFLICT or
-    OUTCOME_UNSETTLED. The fit check can be left out only while no target's status is known.
+    OUTCOME_UNSETTLED. The fit check can be skipped only while no target's status is known.
     """
     step = Step(operator, Action.ROLL, name, WITHOUT_FIT_CHECK if without_fit_check else "")
     return audit.take(store, clock, step, lambda: _roll(store, clock, step, without_fit_check))
@@ -79,7 +79,7 @@
     """Return a written bundle; raise UNKNOWN_BUNDLE."""
     stored = read_settled(store, keys.bundle(name))
     if stored is None:
-        raise MimosaspurError(ResultCode.UNKNOWN_BUNDLE, f"Nobody wrote {name!r}.")
+        raise MimosaspurError(ResultCode.UNKNOWN_BUNDLE, f"No bundle {name!r} has been written.")
     return WrittenBundle.from_value(stored.value)
 
 
@@ -110,14 +110,16 @@
 def _same_or_raise(written: WrittenBundle, stored: WrittenBundle) -> WrittenBundle:
     if (written.digest, written.operator) == (stored.digest, stored.operator):
         return stored
-    detail = f"{stored.operator} wrote {stored.bundle.name!r} before."
+    detail = f"{stored.operator} has already written a bundle named {stored.bundle.name!r}."
     raise MimosaspurError(ResultCode.BUNDLE_EXISTS, detail)
 
 
 def _approve(store: ObjectStore, clock: Clock, name: str, operator: str) -> Approval:
     written = read_bundle(store, name)
     if written.operator == operator:
-        raise MimosaspurError(ResultCode.SAME_OPERATOR, f"{operator} wrote {name!r}.")
+        raise MimosaspurError(
+            ResultCode.SAME_OPERATOR, f"{operator} wrote {name!r} and can't approve it."
+        )
     approval = Approval(written.digest, operator, clock.wall_ms())
     value = approval.to_value()
     key = keys.approval(name)
@@ -147,7 +149,7 @@
 
 def _put_head(store: ObjectStore, head: Head | None, version: int, wanted: Roll) -> RollResult:
     def is_ours(value: object) -> bool:
-        # Another roll may have followed ours before we could look.
+        # Another roll may have followed this one before it was read back.
         return value is not None and wanted.roll_id in _roll_ids(Head.from_value(value))
 
     history = (head.current, *head.history)[:HISTORY_LENGTH] if head else ()
@@ -162,12 +164,12 @@
     winner = Head.from_value(stored.value).current
     if (winner.bundle, winner.digest) == (wanted.bundle, wanted.digest):
         return RollResult(winner, already=True)
-    detail = f"{_describe_roll(winner)}. Nothing of {wanted.bundle!r} is in force."
+    detail = f"{_describe_roll(winner)}. {wanted.bundle!r} is not in force."
     raise MimosaspurError(ResultCode.ROLL_CONFLICT, detail)
 
 
 def _require_settled(settled: Settled) -> StoredObject | None:
-    """Return what another wrote, None if our write is done; raise OUTCOME_UNSETTLED."""
+    """Return the conflicting object, None if the write is done; raise OUTCOME_UNSETTLED."""
     if settled.settlement is Settlement.DONE:
         return None
     if settled.settlement is Settlement.UNSETTLED or settled.stored is None:
@@ -182,11 +184,13 @@
 def _check_approval(written: WrittenBundle, approval: Approval | None) -> None:
     name = written.bundle.name
     if approval is None:
-        raise MimosaspurError(ResultCode.NOT_APPROVED, f"{name!r} waits for approval.")
+        raise MimosaspurError(ResultCode.NOT_APPROVED, f"{name!r} has not been approved.")
     if approval.operator == written.operator:
-        raise MimosaspurError(ResultCode.SAME_OPERATOR, f"{approval.operator} wrote {name!r}.")
+        raise MimosaspurError(
+            ResultCode.SAME_OPERATOR, f"{approval.operator} wrote {name!r} and also approved it."
+        )
     if {approval.digest} != {written.digest, written.bundle.digest()}:
-        detail = f"{approval.operator} approved another content of {name!r} than the stored one."
+        detail = f"{approval.operator} approved {name!r} with other content than is stored now."
         raise MimosaspurError(ResultCode.NOT_APPROVED, detail)
 
 
--- a/packages/coordination/src/mimosaspur_coordination/serviceregistration.py
+++ b/packages/coordination/src/mimosaspur_coordination/serviceregistration.py
@@ -1,4 +1,4 @@
-"""Record which targets carry a plain service."""
+"""Register a target in the placement record of a plain service."""
 
 from mimosaspur_coordination.mirror import Mirror
 from mimosaspur_state import keys
@@ -16,7 +16,7 @@
 
 
 class ServiceRegistration:
-    """Put this target on a service's record, and take it off while another one stays."""
+    """Register and deregister one target for one service; the last live target stays."""
 
     def __init__(
         self,
@@ -36,12 +36,12 @@
         self.first_versions: dict[str, int] = {}
 
     def is_registered(self) -> bool:
-        """Tell whether the local copy of the record names this target."""
+        """Return whether the mirrored record names this target."""
         return bool(self._record().on(self.target))
 
     def register(self) -> bool:
-        """Name this target as ready; tell whether it is."""
-        # Whether the others live is asked anew with every order to leave.
+        """Register this target as ready; return whether it is registered."""
+        # Each deregistration must see new heartbeats of the other targets.
         self.first_versions.clear()
         if not self.mirror.listed.is_set():
             return False
@@ -52,18 +52,18 @@
         return self._write(record.with_replica(replica))
 
     def deregister(self) -> bool:
-        """Take this target off if a living one stays; tell whether it is off."""
+        """Remove this target if another live one remains; return whether it is removed."""
         record = self._record()
         if not record.on(self.target):
             return True
         others = [replica for replica in record.ready() if replica.target != self.target]
-        # A carrier that died stays on the record, since nobody else takes it off.
+        # A dead target may still be in the record: only the target itself removes its entry.
         if not any(self._is_alive(replica.target) for replica in others):
             return False
         return self._write(record.without(self.target, SERVICE_VERSION))
 
     def _is_alive(self, target: str) -> bool:
-        """Tell whether a target has written its status since it was first looked at."""
+        """Return whether a target's status has changed since it was first read."""
         try:
             status = self.store.get(keys.status(self.region, target))
         except StoreUnavailable:
@@ -87,7 +87,7 @@
             else:
                 version = self.store.update(self.key, value, item.version or ABSENT)
         except (StoreUnavailable, VersionConflict):
-            # The watch brings what is there now; the next round decides by that.
+            # The watch delivers the current record, and the next round retries from it.
             return False
         self.mirror.learn(StoredObject(self.key, version, value))
         return True
--- a/packages/coordination/src/mimosaspur_coordination/view.py
+++ b/packages/coordination/src/mimosaspur_coordination/view.py
@@ -1,4 +1,4 @@
-"""Hold what the planner decides from, and what it decides."""
+"""Define the planner's input and output."""
 
 from dataclasses import dataclass
 from dataclasses import field
@@ -15,12 +15,12 @@
 DEFAULT_MAX_CONCURRENT_LOADS = 6
 
 LoadKey = tuple[str, str, str]
-"""Name a load: model, target, version."""
+"""Identify a load by model, target and version."""
 
 
 @dataclass(slots=True, frozen=True)
 class Placed:
-    """Hold a placement record and the version at which it was read."""
+    """Store a placement record and the version at which it was read."""
 
     record: PlacementRecord
     version: int
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DemandSum:
-    """Sum one model's requests over all entries in a window; requests count refused ones too."""
+    """Sum one model's requests of all entries in a window; requests include refused ones."""
 
     requests: int = 0
     refused: int = 0
@@ -36,10 +36,10 @@
 
 @dataclass(slots=True)
 class PlannerView:
-    """Hold one moment of a region; `alive` has only targets whose status still beats.
+    """Describe a region at one moment; `alive` has only targets with recent heartbeats.
 
-    `former` finds entries of bundles once in force by their resident's name: what a replica of
-    an old version takes is known only from there, and else guessed from the new version.
+    `former_entries` maps resident names to entries of earlier bundles, for the memory of old
+    versions. Where one is missing, the new version's memory is assumed.
     """
 
     index: BundleIndex
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RecordChange:
-    """Change one placement record at a version (ABSENT creates); None as the new one deletes."""
+    """Describe a conditional change of a placement record: ABSENT creates, no new one deletes."""
 
     model: str
     record_version: int
