--- a/features/harness/planner_world.py
+++ b/features/harness/planner_world.py
@@ -147,7 +147,7 @@
             for item in placed.record.replicas
             if item.state is ReplicaState.LOAD
         ]
-        assert len(loads) <= self.max_concurrent_loads, f"{len(loads)} loads at once"
+        assert len(loads) <= self.max_concurrent_loads, f"{len(loads)} concurrent loads"
         for name, target in self.targets.items():
             if name in self.dead:
                 continue
--- a/packages/coordination/src/mimosaspur_coordination/draft.py
+++ b/packages/coordination/src/mimosaspur_coordination/draft.py
@@ -38,9 +38,9 @@
     one change releases are not reused by another in the same pass.
     """
 
-    def __init__(self, view: PlannerView, bucket: RateLimiter) -> None:
+    def __init__(self, view: PlannerView, rate_limiter: RateLimiter) -> None:
         self.view = view
-        self.bucket = bucket
+        self.rate_limiter = rate_limiter
         self.records = {name: placed.record for name, placed in view.placed.items()}
         self.reasons: dict[str, list[str]] = {}
         loading = sum(len(_loading_replicas(record)) for record in self.records.values())
@@ -183,7 +183,7 @@
         if self.remaining_loads == 0:
             return False
         # The target reads the weights of the model and of each adapter.
-        if not self.bucket.take(1 + len(entry.adapters)):
+        if not self.rate_limiter.take(1 + len(entry.adapters)):
             self.remaining_loads = 0
             return False
         self.remaining_loads -= 1
--- a/packages/coordination/src/mimosaspur_coordination/fit.py
+++ b/packages/coordination/src/mimosaspur_coordination/fit.py
@@ -91,8 +91,8 @@
         return
     if any(status.residents for status in targets):
         # Reported statuses are more accurate than a packing of the bundle in force.
-        for at_once in DRY_RUN_CONCURRENT_LOADS:
-            stuck = DryRun(bundle, in_force, targets, max_concurrent_loads=at_once).find_unready()
+        for max_loads in DRY_RUN_CONCURRENT_LOADS:
+            stuck = DryRun(bundle, in_force, targets, max_concurrent_loads=max_loads).find_unready()
             if stuck:
                 raise _fit_error(Need.of(stuck), _bins(targets, free=True), NO_MIGRATION_ROOM)
         return
--- a/packages/coordination/src/mimosaspur_coordination/naive.py
+++ b/packages/coordination/src/mimosaspur_coordination/naive.py
@@ -13,9 +13,11 @@
 from mimosaspur_state.placement import ReplicaState
 
 
-def plan_naively(view: PlannerView, bucket: RateLimiter, random: Random) -> list[RecordChange]:
+def plan_naively(
+    view: PlannerView, rate_limiter: RateLimiter, random: Random
+) -> list[RecordChange]:
     """Return break-before-make changes that place loads on random targets."""
-    draft = Draft(view, bucket)
+    draft = Draft(view, rate_limiter)
     retire_unwanted(draft)
     for entry in view.index.models.values():
         drop_obsolete_loads(draft, entry)
--- a/packages/coordination/src/mimosaspur_coordination/planner.py
+++ b/packages/coordination/src/mimosaspur_coordination/planner.py
@@ -29,12 +29,12 @@
 """Look ahead only at the hardest to place: the cost is quadratic in the number of models."""
 
 
-def plan(view: PlannerView, bucket: RateLimiter) -> list[RecordChange]:
+def plan(view: PlannerView, rate_limiter: RateLimiter) -> list[RecordChange]:
     """Return the next changes, most urgent first; each is safe alone and in any order."""
     if any(placed.record.generation > view.index.generation for placed in view.placed.values()):
         # Another planner has applied a newer bundle; changes for this one would revert its moves.
         return []
-    draft = Draft(view, bucket)
+    draft = Draft(view, rate_limiter)
     entries = _by_urgency(draft, entries_to_place(view))
     waits = _load_missing(draft, entries)
     retire_unwanted(draft)
