--- a/packages/coordination/src/mimosaspur_coordination/rolls.py
+++ b/packages/coordination/src/mimosaspur_coordination/rolls.py
@@ -110,7 +110,7 @@
 def _same_or_raise(written: WrittenBundle, stored: WrittenBundle) -> WrittenBundle:
     if (written.digest, written.operator) == (stored.digest, stored.operator):
         return stored
-    detail = f"{stored.operator} has already written a bundle named {stored.bundle.name!r}."
+    detail = f"{stored.operator} has already written {stored.bundle.name!r}; choose another name."
     raise MimosaspurError(ResultCode.BUNDLE_EXISTS, detail)
 
 
