--- a/features/steps/scale_any_steps.py
+++ b/features/steps/scale_any_steps.py
@@ -16,11 +16,11 @@
 from hypothesis import strategies as st
 
 from mimosaspur_coordination import orders
-from mimosaspur_coordination.directory import Directory
-from mimosaspur_coordination.directory import service_resident
 from mimosaspur_coordination.mirror import Mirror
 from mimosaspur_coordination.routing import Candidate
 from mimosaspur_coordination.routing import candidates_for
+from mimosaspur_coordination.targetdirectory import TargetDirectory
+from mimosaspur_coordination.targetdirectory import service_resident
 from mimosaspur_daemon.engine_situation import Situation
 from mimosaspur_daemon.engine_situation import Situations
 from mimosaspur_state import keys
@@ -135,7 +135,7 @@
 
     def __init__(self) -> None:
         self.changes = MirrorChanges()
-        self.directory = Directory(self.changes.mirror, region=REGION)
+        self.directory = TargetDirectory(self.changes.mirror, region=REGION)
         self.former_hints: dict[str, Any] = {}
 
     def apply(self, event: Event) -> None:
@@ -156,19 +156,19 @@
             self.directory.update(listed)
         elif kind == "said late" and what in self.former_hints:
             # The connection to a former address may still deliver a report.
-            self.former_hints[what].connected(False, how)
+            self.former_hints[what].on_connect(False, how)
         elif what in hints:
             self._apply_to_hint(kind, hints[what], how)
 
     def _apply_to_hint(self, kind: str, hint: Any, how: Any) -> None:
         if kind == "said":
-            hint.connected(False, how)
+            hint.on_connect(False, how)
         elif kind == "resident":
             hint.residents = frozenset(how)
         elif kind == "lost":
-            hint.lost(1)
+            hint.on_disconnect(1)
         elif kind == "busy":
-            hint.own = how
+            hint.in_flight = how
 
     def check(self) -> None:
         """Compare all candidates with those of a full scan."""
--- a/packages/coordination/src/mimosaspur_coordination/eviction.py
+++ b/packages/coordination/src/mimosaspur_coordination/eviction.py
@@ -4,7 +4,7 @@
 from dataclasses import field
 
 from mimosaspur_coordination.draft import Draft
-from mimosaspur_coordination.offers import Offer
+from mimosaspur_coordination.evictionoptions import EvictionOptions
 from mimosaspur_coordination.packing import Bin
 from mimosaspur_coordination.packing import Need
 from mimosaspur_state.bundle import ModelEntry
@@ -62,7 +62,7 @@
 
     def find_by_removals(self) -> bool:
         """Try with leaving and spare replicas only; return whether that is enough."""
-        count = self.offer.enough(self.need)
+        count = self.offer.evictions_needed(self.need)
         self.plan.removals = self.offer.surplus[:count]
         return count is not None
 
@@ -105,19 +105,19 @@
         return best.target
 
 
-def _cached_offer(draft: Draft, room: Bin) -> Offer:
+def _cached_offer(draft: Draft, room: Bin) -> EvictionOptions:
     if room.target not in draft.offers:
         draft.offers[room.target] = _compute_offer(draft, room)
     return draft.offers[room.target]
 
 
-def _compute_offer(draft: Draft, room: Bin) -> Offer:
+def _compute_offer(draft: Draft, room: Bin) -> EvictionOptions:
     residents = _residents(draft, room.target)
     trial = room.copy()
     for entry, replica in residents:
         if replica.state is ReplicaState.LEAVING:
             _release(draft, trial, entry, replica)
-    offer = Offer(residents, [], [trial])
+    offer = EvictionOptions(residents, [], [trial])
     for entry, replica in residents:
         if _is_spare(draft, entry, replica):
             trial = trial.copy()
