--- a/features/steps/scale_any_steps.py
+++ b/features/steps/scale_any_steps.py
@@ -122,7 +122,7 @@
     def put(self, key: str, value: Any) -> None:
         """Apply one change to the mirror."""
         self.version += 1
-        self.mirror.learn(StoredObject(key, self.version, value))
+        self.mirror.apply_update(StoredObject(key, self.version, value))
 
     def record(self, model: str, replicas: tuple[Replica, ...] | None) -> None:
         """Change a model's record, or delete it."""
@@ -229,7 +229,7 @@
     def scan(self, report: EngineState) -> Situation:
         """Return the situation by decoding all records."""
         found = []
-        for item in self.changes.mirror.under(keys.placements(REGION)):
+        for item in self.changes.mirror.list_prefix(keys.placements(REGION)):
             try:
                 found.append((item, placement_from_value(item.value)))
             except msgspec.ValidationError:
--- a/packages/coordination/src/mimosaspur_coordination/pendingentries.py
+++ b/packages/coordination/src/mimosaspur_coordination/pendingentries.py
@@ -1,6 +1,6 @@
 """Select the models that the planner has to examine; all others match the bundle."""
 
-from mimosaspur_coordination.adapterroom import lacks_adapter_room
+from mimosaspur_coordination.adaptermemory import lacks_adapter_memory
 from mimosaspur_coordination.demand import SCALE_DOWN_WINDOWS
 from mimosaspur_coordination.demand import window_capacity
 from mimosaspur_coordination.view import PlannerView
@@ -34,7 +34,7 @@
 
 def _any_lacks_adapter_room(view: PlannerView, entry: ModelEntry, record: PlacementRecord) -> bool:
     statuses = [view.alive[replica.target] for replica in record.replicas]
-    return any(lacks_adapter_room(view.index, entry, status) for status in statuses)
+    return any(lacks_adapter_memory(view.index, entry, status) for status in statuses)
 
 
 def _may_scale(view: PlannerView, entry: ModelEntry) -> bool:
--- a/packages/coordination/src/mimosaspur_coordination/recordcache.py
+++ b/packages/coordination/src/mimosaspur_coordination/recordcache.py
@@ -50,7 +50,7 @@
 
     def all(self, prefix: str) -> list[tuple[StoredObject, PlacementRecord]]:
         """Return the records under a prefix by key; raise ValidationError if one is invalid."""
-        items = self.mirror.under(prefix)
+        items = self.mirror.list_prefix(prefix)
         found = [(item, self._require_record(item)) for item in items]
         self._evict_absent(prefix, items)
         return found
@@ -61,11 +61,11 @@
         Returns the same tuple until the mirror changes.
         """
         # Read the count first: a concurrent change is then read twice, never missed.
-        changes = self.mirror.changes
+        changes = self.mirror.change_count
         listing = self.listings.get(prefix)
         if listing is not None and listing.changes == changes:
             return listing.records
-        items = self.mirror.under(prefix)
+        items = self.mirror.list_prefix(prefix)
         decoded = [self._decoded(item) for item in items]
         found = tuple((it.item, it.record) for it in decoded if it.record is not None)
         self._evict_absent(prefix, items)
--- a/packages/coordination/src/mimosaspur_coordination/serviceregistration.py
+++ b/packages/coordination/src/mimosaspur_coordination/serviceregistration.py
@@ -43,7 +43,7 @@
         """Register this target as ready; return whether it is registered."""
         # Each deregistration must see new heartbeats of the other targets.
         self.first_versions.clear()
-        if not self.mirror.listed.is_set():
+        if not self.mirror.synced.is_set():
             return False
         record = self._record()
         replica = Replica(self.target, SERVICE_VERSION, ReplicaState.READY)
@@ -89,5 +89,5 @@
         except (StoreUnavailable, VersionConflict):
             # The watch delivers the current record, and the next round retries from it.
             return False
-        self.mirror.learn(StoredObject(self.key, version, value))
+        self.mirror.apply_update(StoredObject(self.key, version, value))
         return True
