--- a/features/steps/direct_adapters_steps.py
+++ b/features/steps/direct_adapters_steps.py
@@ -88,9 +88,9 @@
         return
     assert move is not None
     adapter, _, rest = text.partition(" on ")
-    places, _, victim = rest.partition(" for ")
+    identities, _, victim = rest.partition(" for ")
     assert (move.model, move.adapter) == _pair(adapter), move
-    assert move.identity in places.split(" or "), move
+    assert move.identity in identities.split(" or "), move
     assert move.victim == (_pair(victim) if victim else None), move
 
 
--- a/features/steps/direct_placement_steps.py
+++ b/features/steps/direct_placement_steps.py
@@ -147,9 +147,9 @@
     if decision == "none":
         assert swap is None, swap
         return
-    model, _, places = decision.partition(" on ")
+    model, _, identities = decision.partition(" on ")
     assert swap is not None
-    assert (swap.model, swap.identity in places.split(" or ")) == (model, True), swap
+    assert (swap.model, swap.identity in identities.split(" or ")) == (model, True), swap
 
 
 @given("an engine that has {copies} in memory, and {disk} on its disk")
--- a/packages/coordination/src/mimosaspur_coordination/audit.py
+++ b/packages/coordination/src/mimosaspur_coordination/audit.py
@@ -98,8 +98,8 @@
     )
     value = record.to_value()
     key = keys.audit(record.at_ms, record.record_id)
-    settled = create_confirmed(store, key, value, lambda stored: bool(stored == value))
-    if settled.outcome is not WriteOutcome.DONE:
+    result = create_confirmed(store, key, value, lambda stored: bool(stored == value))
+    if result.outcome is not WriteOutcome.DONE:
         raise StoreUnavailable("could not confirm that the audit record was written")
 
 
--- a/packages/coordination/src/mimosaspur_coordination/engineheadroom.py
+++ b/packages/coordination/src/mimosaspur_coordination/engineheadroom.py
@@ -57,8 +57,8 @@
         # Of two engines with equal cost the one with the higher index is chosen.
         self.index = index
         sizes = {name: weights_mb(spec, name) for name in engine.residents}
-        kept_mb = sum(weights_mb(spec, name) for name in engine.reserved_models)
-        self.free_mb = spec.weights_mb - sum(sizes.values()) - spec_sizes.adapters_mb - kept_mb
+        reserved_mb = sum(weights_mb(spec, name) for name in engine.reserved_models)
+        self.free_mb = spec.weights_mb - sum(sizes.values()) - spec_sizes.adapters_mb - reserved_mb
         by_loss = sorted(
             (
                 EvictionCandidate(name, unload_loss(problem, engine, name), sizes[name])
