--- a/features/direct_quotas.feature
+++ b/features/direct_quotas.feature
@@ -1,10 +1,9 @@
 Feature: Many entries hold a workspace to its quota together, without asking one another first
-  Callers of 16 workspaces of very different sizes, in virtual time. No window of any workspace may have
-  more than its rate and burst allow, with the overage and the slack of the settings. What one bucket for
-  all entries would let in should be let in.
+  Simulates 16 workspaces of very different sizes in virtual time. Guards against exceeding a quota in any
+  window beyond its overage and slack, and against rejecting what a single bucket would admit.
 
-  # Hot middling: guards against entries that all spend the same rest of a quota while nobody tells them.
-  # All killed: guards against processes that begin with a whole quota, whatever was spent before.
+  # "hot middling": all entries spend the same remainder of a quota while they get no updates.
+  # "all killed": restarted processes start with a full quota regardless of earlier spending.
   Scenario Outline: <entries> entries, <trouble>
     Given quotas that <entries> entries hold by what the coordinator tells, 2 seeds
     When callers come, with <trouble>
--- a/features/direct_repeats.feature
+++ b/features/direct_repeats.feature
@@ -1,9 +1,9 @@
 Feature: All entries together send no more repeats to a service than the bound allows
-  In any window, requests and a constant allow a number of arrivals beyond the first of each request. The
-  constant is shared by entries that are killed, cut off and handed from one coordinator to the next.
+  Repeats in a window are limited to a ratio of its requests plus a constant. Guards against exceeding the
+  constant when the entries that share it are killed, partitioned or get a new coordinator.
 
-  # Guards against parts of the constant that are spent twice: by an entry and the process that replaces it,
-  # or on both sides of a cut.
+  # Guards against shares of the constant spent twice: by an entry and its replacement process, or on both
+  # sides of a partition.
   Scenario Outline: The constant is not spent twice while <trouble>
     Given 4 entries that share 40 repeats in any 2000 ms
     When all of them repeat as often as they may, and <trouble>
@@ -17,7 +17,7 @@
       | the coordinator and two others are cut off            |
       | two followers are cut off                             |
 
-  # Guards against the same fault in an order of losses that no day has shown yet.
+  # Guards against the same fault in arbitrary sequences of failures.
   Scenario: No order of kills, cuts, freezes and handovers has the constant spent twice
     Then in any play of 4 entries at most 40 of 40 repeats are spent in any window
 
--- a/features/direct_workspaces.feature
+++ b/features/direct_workspaces.feature
@@ -1,6 +1,6 @@
 Feature: An entry finds out on whose behalf a request comes, and passes no key on
-  Workspace "north" holds the keys n-1 and n-2, "south" holds s-1. Targets hear of the workspace that
-  holds the caller's key, whatever the caller says of it, and never of the key.
+  Workspace "north" has the keys n-1 and n-2, "south" has s-1. Guards against targets that get a workspace
+  chosen by the caller, or the caller's key.
 
   Scenario Outline: A caller shows <authorization>
     Given a direct entry that serves workspaces
--- a/features/harness/direct_workspaces.py
+++ b/features/harness/direct_workspaces.py
@@ -1,4 +1,4 @@
-"""Hold workspaces for an entry's scenarios, and send it raw requests."""
+"""Configure workspaces at an entry, and send it raw requests."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -21,7 +21,7 @@
 
 
 def workspace(name: str, keys: tuple[str, ...], **fields: object) -> Workspace:
-    """Return a workspace that holds some keys."""
+    """Return a workspace with these keys."""
     digests = frozenset(credential_digest(key.encode()) for key in keys)
     return replace(Workspace(name, digests), **fields)  # type: ignore[arg-type]
 
@@ -35,7 +35,7 @@
 
 
 class WorkspaceEntry(DirectEntry):
-    """Serve workspaces before one sound target."""
+    """An entry that serves workspaces with one healthy target."""
 
     def __init__(self, *, public: bool = False, quota: Quota | None = None) -> None:
         super().__init__()
@@ -48,15 +48,15 @@
         self.confirm(age_ms=0)
 
     def confirm(self, *, age_ms: int) -> None:
-        """Have the configuration confirmed so long ago."""
+        """Set the age of the configuration's last confirmation."""
         self.state.freshness.confirm("configuration", asked_ms=self.state.clock.now_ms() - age_ms)
 
     async def begin(self) -> None:
-        """Start the target and listen."""
+        """Start the target and the entry."""
         await self.start(self.target)
 
     async def send(self, lines: list[str], body: bytes = b"", *, chunked: bool = False) -> Received:
-        """Send a request with these header lines on a connection of its own."""
+        """Send a request with these header lines on a new connection."""
         reader, writer = await self.connect()
         writer.write(raw_request(lines, body, chunked=chunked))
         try:
@@ -66,7 +66,7 @@
 
 
 def raw_request(lines: list[str], body: bytes = b"", *, chunked: bool = False) -> bytes:
-    """Return a request to the idempotent route, word by word."""
+    """Return the bytes of a request to the idempotent route."""
     framing = "Transfer-Encoding: chunked" if chunked else f"Content-Length: {len(body)}"
     head = ["POST /safe/x HTTP/1.1", f"Host: {HOST}", "X-Request-Id: r-1", framing, *lines]
     return "\r\n".join([*head, "", ""]).encode() + body
--- a/features/harness/report_simulation.py
+++ b/features/harness/report_simulation.py
@@ -1,4 +1,4 @@
-"""Play the reports of entries to a coordinator, and what it tells them of one another's work."""
+"""Simulate entries' reports to a coordinator, and its updates on one another's work."""
 
 from collections.abc import Mapping
 from collections.abc import Sequence
@@ -26,20 +26,20 @@
 
 
 class ReportSimulation:
-    """Let entries report and be told in any order, and check what each takes for others' work."""
+    """Deliver reports and updates in any order, and check each entry's view of others' work."""
 
     def __init__(self, entries: int, targets: Sequence[str]) -> None:
         self.targets = targets
         self.entries = [ReportedWork() for _ in range(entries)]
-        # Reports on their way, and the last one heard, with their numbers.
+        # Reports in transit, and the last one received, with their numbers.
         self.in_transit: list[list[tuple[int, dict[str, WorkAt]]]] = [[] for _ in range(entries)]
         self.received: list[tuple[int, dict[str, WorkAt]]] = [(0, {}) for _ in range(entries)]
         self.last_sent: dict[str, WorkAt] = {}
-        # What each entry takes for others' work, as it was last told that it has changed.
+        # Each entry's view of the others' work, from the updates that it received.
         self.views: list[dict[str, Work]] = [{} for _ in range(entries)]
 
     def step(self, name: str, entry: int = 0, requests: Mapping[str, int] | None = None) -> None:
-        """Take one step."""
+        """Perform one step by its name."""
         if name == "report":
             work = [
                 WorkAt(target, count, {RANK: count * TOKENS_PER_REQUEST}, count, {})
@@ -61,27 +61,27 @@
         for index, entry in enumerate(self.entries):
             entry.count(self.received[index][0])
             self.views[index].update(entry.others(changed))
-            others = [work for at, (_, work) in enumerate(self.received) if at != index]
-            for target, wanted in total_work(others, self.targets).items():
-                found = self.views[index].get(target, Work())
-                assert found.requests == wanted.requests, (target, found, wanted)
-                assert found.held_tokens == wanted.held_tokens
-                assert sum(found.unread.values()) == sum(wanted.unread.values())
+            others = [work for number, (_, work) in enumerate(self.received) if number != index]
+            for target, expected in total_work(others, self.targets).items():
+                actual = self.views[index].get(target, Work())
+                assert actual.requests == expected.requests, (target, actual, expected)
+                assert actual.held_tokens == expected.held_tokens
+                assert sum(actual.unread.values()) == sum(expected.unread.values())
 
 
 class CountingLink:
-    """Stand for a link to an entry, and count what is sent there."""
+    """A fake link to an entry that counts sent frames."""
 
     def __init__(self) -> None:
         self.frames = 0
 
     def send_encoded(self, frames: bytes) -> None:
-        """Count what is sent."""
+        """Count a non-empty send."""
         self.frames += bool(frames)
 
 
 class CoordinatorWithMembers:
-    """Own a coordinator's members, and count what is encoded for them."""
+    """Run a coordinator's member list, and count the messages encoded for it."""
 
     def __init__(self, entries: int) -> None:
         log = quiet_log("coordinator")
@@ -96,25 +96,25 @@
             self.add_entry()
 
     def add_entry(self) -> None:
-        """Let one more entry follow."""
+        """Connect one more entry."""
         name = f"entry-{len(self.links)}"
         self.links[name] = CountingLink()
         link = self.links[name]
         self.members.add(name, Member(link=link))  # type: ignore[arg-type]
 
     def send_updates(self, *, work_at: int) -> None:
-        """Let the first entry report work at so many targets, and tell all of it."""
+        """Report work of the first entry at work_at targets, and send updates to all entries."""
         work = [WorkAt(f"t{n}", 1, {}, 1, {}) for n in range(work_at)]
         report = EntryReport("entry-0", 1, work, [], [], [])
         self.members.hear(report, self.members.members["entry-0"])
         for link in self.links.values():
             link.frames = 0
-        # As after the pause that the last news needed.
+        # Skips the pause after the previous update.
         self.members.work_due_ms = 0
-        with mock.patch(ENCODER, side_effect=encode_peer) as counted:
+        with mock.patch(ENCODER, side_effect=encode_peer) as encode:
             self.members.tell([], self.lease)
-        self.encoded = counted.call_count
+        self.encoded = encode.call_count
 
     def frame_counts(self) -> dict[str, int]:
-        """Return how often each entry was sent something in the last pass."""
+        """Return the number of sends to each entry in the last update."""
         return {name: link.frames for name, link in self.links.items()}
--- a/features/harness/share_simulation.py
+++ b/features/harness/share_simulation.py
@@ -1,4 +1,4 @@
-"""Play entries that share a constant in virtual time, and count what any window has of it."""
+"""Simulate entries that share a limit in virtual time, and count its use in any window."""
 
 from dataclasses import dataclass
 from dataclasses import field
@@ -13,16 +13,15 @@
 
 WINDOW_MS = 2_000
 STEP_MS = 250
-# For how long a coordinator may go on to tell after another one has taken the lease.
+# How long a coordinator may continue after another one has taken the lease.
 LEADERSHIP_OVERLAP_MS = 2_000
-# What its successor waits besides.
+# Additional delay of its successor.
 HANDOVER_MS = 300
-# An entry that is silent for so long is dropped by its coordinator.
 SILENCE_TIMEOUT_MS = 1_500
 
 
 class Event(Enum):
-    """Name what may happen to an entry between two steps."""
+    """Name the events of an entry between two steps."""
 
     NOTHING = "nothing"
     KILL = "kill"
@@ -39,7 +38,7 @@
     window: RetryWindow
     cut: bool = False
     frozen: bool = False
-    # When its coordinator last heard it.
+    # By the id() of the coordinator's term.
     last_report_ms: dict[int, int] = field(default_factory=dict)
 
 
@@ -47,13 +46,13 @@
 class _Term:
     holder: int
     count: SharerCount
-    # Until when it may go on to tell; None while it holds the lease.
+    # When it must stop sending; None while it holds the lease.
     ends_ms: int | None = None
     members: set[int] = field(default_factory=set)
 
 
 class ShareSimulation:
-    """Own entries, coordinators' terms and the time."""
+    """Simulate entries, the terms of coordinators and the clock."""
 
     def __init__(self, entries: int, slack: float) -> None:
         self.clock = HeldClock(0)
@@ -62,18 +61,18 @@
         self.terms: list[_Term] = []
         self.spent: list[int] = []
 
-    def step(self, who: int, event: Event) -> None:
-        """Let something happen, and a step pass in which all spend what they may."""
-        entry = self.entries[who]
+    def step(self, number: int, event: Event) -> None:
+        """Apply an event, advance the clock by a step, and spend all available repeats."""
+        entry = self.entries[number]
         if event is Event.KILL:
-            self.entries[who] = self._entry(cut=entry.cut)
-            self.terms = [term for term in self.terms if term.holder != who]
+            self.entries[number] = self._entry(cut=entry.cut)
+            self.terms = [term for term in self.terms if term.holder != number]
         elif event in (Event.CUT, Event.HEAL):
             entry.cut = event is Event.CUT
         elif event in (Event.FREEZE, Event.THAW):
             entry.frozen = event is Event.FREEZE
         elif event is Event.TAKE_LEASE and not entry.frozen:
-            self._take_lease(who)
+            self._take_lease(number)
         self.clock.ms += STEP_MS
         for term in self.terms:
             self._renew_shares(term)
@@ -82,30 +81,30 @@
                 self.spent.append(self.clock.ms)
 
     def max_in_window(self) -> int:
-        """Return the most that any window has."""
+        """Return the highest count in any window."""
         most = 0
-        begin = 0
-        for end, at_ms in enumerate(self.spent):
-            while self.spent[begin] < at_ms - WINDOW_MS:
-                begin += 1
-            most = max(most, end - begin + 1)
+        first = 0
+        for last, at_ms in enumerate(self.spent):
+            while self.spent[first] < at_ms - WINDOW_MS:
+                first += 1
+            most = max(most, last - first + 1)
         return most
 
     def _entry(self, *, cut: bool = False) -> _Entry:
         lease = ShareLease(window_ms=WINDOW_MS, clock=self.clock)
         return _Entry(lease, RetryWindow(self.bounds, lease=lease, clock=self.clock), cut)
 
-    def _take_lease(self, who: int) -> None:
+    def _take_lease(self, number: int) -> None:
         now_ms = self.clock.ms
         holders = [term.holder for term in self.terms if term.ends_ms is None]
-        if who in holders:
+        if number in holders:
             return
         for term in self.terms:
             if term.ends_ms is None:
                 term.ends_ms = now_ms + LEADERSHIP_OVERLAP_MS
         ended_ms = now_ms + LEADERSHIP_OVERLAP_MS + HANDOVER_MS if holders else now_ms
         count = SharerCount(window_ms=WINDOW_MS, predecessor_ended_ms=ended_ms, clock=self.clock)
-        self.terms.append(_Term(who, count))
+        self.terms.append(_Term(number, count))
 
     def _renew_shares(self, term: _Term) -> None:
         now_ms = self.clock.ms
--- a/features/harness/virtual_time.py
+++ b/features/harness/virtual_time.py
@@ -1,4 +1,4 @@
-"""Run coroutines in virtual time: where all of them wait, the clock jumps to the next timer."""
+"""Run coroutines in virtual time: when all are waiting, the clock jumps to the next timer."""
 
 import asyncio
 import selectors
@@ -12,14 +12,14 @@
 
 
 class _VirtualTimeSelector(selectors.SelectSelector):
-    """Wait for nothing: let the time pass instead."""
+    """A selector that advances the virtual time instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now_s = START_S
 
     def select(self, timeout: float | None = None) -> Any:
-        """Return what is ready now, or jump to the timeout."""
+        """Return the ready events, or advance the time by the timeout."""
         ready = super().select(0)
         if not ready and timeout:
             self.now_s += timeout
@@ -27,7 +27,7 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """Keep the time that the selector has jumped to."""
+    """An event loop whose time is the selector's virtual time."""
 
     def __init__(self) -> None:
         self.selector = _VirtualTimeSelector()
@@ -39,7 +39,7 @@
 
 
 class VirtualClock:
-    """Tell a loop's virtual time."""
+    """A clock that returns a loop's virtual time."""
 
     def __init__(self, loop: VirtualTimeLoop) -> None:
         self.loop = loop
@@ -54,7 +54,7 @@
 
 
 def run_in_virtual_time(work: Coroutine[Any, Any, T], loop: VirtualTimeLoop) -> T:
-    """Run a coroutine to its end; cancel what it leaves behind."""
+    """Run a coroutine to completion, then cancel the remaining tasks."""
     try:
         return loop.run_until_complete(work)
     finally:
--- a/features/steps/direct_bounds_steps.py
+++ b/features/steps/direct_bounds_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the bounds on repeats, avoided targets, relayed events and logs."""
+"""Steps for the limits on repeats, avoided targets, relayed events and the event log."""
 
 import json
 import os
@@ -100,7 +100,7 @@
     def check(count: int, broken_after: int, cuts: list[int]) -> None:
         events = [b"id: %d\ndata: e%d\n\n" % (n, n) for n in range(1, count + 1)]
         cutter = EventCutter(None)
-        # The first run breaks off inside an event; the next one goes on after the last whole one.
+        # The first stream breaks inside an event; the next one resumes after the last whole event.
         first = b"".join(events)[: broken_after * 9]
         relayed = b"".join(cutter.feed(piece) for piece in _pieces(first, cuts))
         cutter.restart()
@@ -150,9 +150,9 @@
 
 
 @given("the events 1 to {had:d} of a stream were relayed")
-def relay_first(context: Context, had: int) -> None:
+def relay_first(context: Context, last: int) -> None:
     context.cutter = EventCutter(None)
-    context.relayed = context.cutter.feed(_events(1, had))
+    context.relayed = context.cutter.feed(_events(1, last))
 
 
 @when("the next target sends the events {first:d} to 9")
--- a/features/steps/direct_policy_steps.py
+++ b/features/steps/direct_policy_steps.py
@@ -1,4 +1,4 @@
-"""Steps of mechanisms that are switched off by name."""
+"""Steps for switching off mechanisms by name."""
 
 from dataclasses import replace
 
--- a/features/steps/direct_quotas_steps.py
+++ b/features/steps/direct_quotas_steps.py
@@ -1,4 +1,4 @@
-"""Steps of quotas that many entries hold together."""
+"""Steps for quotas that are enforced over many entries."""
 
 from dataclasses import replace
 
@@ -167,8 +167,8 @@
         strategies.lists(trouble, max_size=3), strategies.integers(6, 24), strategies.integers(0, 9)
     )
     def check(troubles: list[Trouble], entries: int, seed: int) -> None:
-        # A workspace that asks for far more, and shares of entries to be killed below one.
-        played = tuple(
+        # Hot workspaces exceed their quota by far, and a kill affects at most all entries.
+        adjusted = tuple(
             (
                 replace(each, times=5.0)
                 if each.kind == "hot"
@@ -180,7 +180,7 @@
             )
             for each in troubles
         )
-        outcome = QuotaPlay("told", entries=entries, seed=seed, troubles=played).run()
+        outcome = QuotaPlay("told", entries=entries, seed=seed, troubles=adjusted).run()
         assert outcome.worst_window <= 1.0, (outcome.worst_window, outcome.windows)
 
     check()
--- a/features/steps/direct_repeats_steps.py
+++ b/features/steps/direct_repeats_steps.py
@@ -1,4 +1,4 @@
-"""Steps of entries that share the bound on repeats."""
+"""Steps for entries that share the limit on repeats."""
 
 import asyncio
 
@@ -30,7 +30,7 @@
 
 
 class _RetrySpender:
-    """Spend all that each entry may, and remember when."""
+    """Spend all repeats that each entry allows, and record the times."""
 
     def __init__(self, site: Site) -> None:
         self.site = site
@@ -47,7 +47,7 @@
             await asyncio.sleep(SPEND_INTERVAL_S)
 
     def max_in_window(self, window_s: float) -> int:
-        """Return the most repeats that any window has."""
+        """Return the highest number of repeats in any window."""
         times = sorted(each for spent in self.spent.values() for each in spent)
         return max(
             sum(start <= each <= start + window_s for each in times[number:])
@@ -106,15 +106,15 @@
     "in any play of {count:d} entries at most {most:d} of {slack:d} repeats are spent in any window"
 )
 def check_plays(context: Context, count: int, most: int, slack: int) -> None:
-    happening = strategies.tuples(
+    step = strategies.tuples(
         strategies.integers(0, count - 1),
-        # Long spells without an event, so that parts are used.
+        # Mostly idle steps, so that shares become active and are used.
         strategies.sampled_from([*Event, *[Event.NOTHING] * 12]),
     )
     spent = []
 
     @settings(max_examples=MAX_EXAMPLES, derandomize=True, database=None, deadline=None)
-    @given_any(strategies.lists(happening, min_size=MAX_STEPS // 2, max_size=MAX_STEPS))
+    @given_any(strategies.lists(step, min_size=MAX_STEPS // 2, max_size=MAX_STEPS))
     def check(events: list[tuple[int, Event]]) -> None:
         play = ShareSimulation(count, slack)
         play.step(0, Event.TAKE_LEASE)
--- a/features/steps/direct_workspaces_steps.py
+++ b/features/steps/direct_workspaces_steps.py
@@ -1,4 +1,4 @@
-"""Steps of callers' keys and the workspaces that hold them."""
+"""Steps for callers' API keys and their workspaces."""
 
 import asyncio
 import json
@@ -195,8 +195,8 @@
     stripped = values[0].strip(b" \t")
     scheme, blank, token = stripped.partition(b" ")
     token = token.lstrip(b" ")
-    letters = token.rstrip(b"=")
-    if scheme.lower() != b"bearer" or not blank or not letters or set(letters) - TOKEN_BYTES:
+    unpadded = token.rstrip(b"=")
+    if scheme.lower() != b"bearer" or not blank or not unpadded or set(unpadded) - TOKEN_BYTES:
         return None
     return credential_digest(token)
 
--- a/packages/coordination/src/mimosaspur_coordination/__init__.py
+++ b/packages/coordination/src/mimosaspur_coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Coordinate leases and moves between instances."""
+"""Coordinate leases, placement, routing and quotas between instances."""
--- a/packages/coordination/src/mimosaspur_coordination/admission.py
+++ b/packages/coordination/src/mimosaspur_coordination/admission.py
@@ -1,4 +1,4 @@
-"""Admit requests at a target by deadline and priority, and give up at once on the rest."""
+"""Queue requests at a target by priority and deadline, rejecting those that cannot be served."""
 
 import heapq
 import itertools
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True, order=True)
 class Ticket:
-    """Stand for a request in the queue; lower sorts first."""
+    """Represent a request in the queue; the lowest ticket is granted a slot first."""
 
     priority: int
     deadline_at_ms: int
@@ -27,11 +27,11 @@
 
 
 class AdmissionQueue:
-    """Bound what runs and what waits at one target.
+    """Limit the running and the queued requests of one target.
 
-    A request is refused when the queue is full or its deadline can't be met, when it comes or
-    as soon as that is known while it waits. The prediction counts those ahead of it and the
-    time that requests have taken lately.
+    A request is rejected when the queue is full, or as soon as its predicted completion time
+    exceeds its deadline. The prediction uses the queue position and a moving average of the
+    service time.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self.changed = threading.Condition()
 
     def acquire(self, priority: int, deadline: Deadline, cancelled: threading.Event) -> Ticket:
-        """Wait for a slot and take it; raise MimosaspurError (not run) when given up on."""
+        """Wait for a slot and occupy it; raise MimosaspurError (not run) when rejected."""
         with self.changed:
             ticket = Ticket(priority, deadline.at_ms, next(self.sequence), cancelled)
             self._check_open()
@@ -69,7 +69,7 @@
             return ticket
 
     def release(self, ticket: Ticket, took_ms: int | None) -> None:
-        """Give the slot back; took_ms is the running time of a request that ended well."""
+        """Release the slot; took_ms is the service time of a request that succeeded."""
         with self.changed:
             if not ticket.granted:
                 return
@@ -81,27 +81,27 @@
             self.changed.notify_all()
 
     def recheck_waiting(self) -> None:
-        """Have those that wait look at whether their callers are gone."""
+        """Wake queued requests so that they check for cancellation."""
         with self.changed:
             self.changed.notify_all()
 
     def close(self) -> None:
-        """Refuse all that comes from now on; what waits still runs."""
+        """Reject new requests; queued ones still run."""
         with self.changed:
             self.closed = True
 
     def open(self) -> None:
-        """Admit again."""
+        """Accept new requests again."""
         with self.changed:
             self.closed = False
 
     def idle(self) -> bool:
-        """Tell whether nothing runs or waits."""
+        """Return whether no request is running or queued."""
         with self.changed:
             return self.active == 0 and not self.waiting
 
     def predicted_wait_ms(self, priority: int) -> int:
-        """Predict the wait of a request of this priority that came now."""
+        """Predict the queueing time of a new request of this priority."""
         with self.changed:
             return self._predict_wait_ms(
                 sum(1 for other in self.waiting if other.priority <= priority)
@@ -127,7 +127,7 @@
         if short_ms > 0:
             raise MimosaspurError(
                 ResultCode.DEADLINE_UNREACHABLE,
-                f"It needs {int(needed_ms)} ms and has {deadline.left_ms()} ms.",
+                f"The request needs {int(needed_ms)} ms but {deadline.left_ms()} ms are left.",
                 retry_after_ms=self._retry_after_ms(short_ms),
             )
 
--- a/packages/coordination/src/mimosaspur_coordination/backoff.py
+++ b/packages/coordination/src/mimosaspur_coordination/backoff.py
@@ -1,20 +1,18 @@
-"""Space out the calls to a dependency that fails, so that many processes don't keep it down."""
+"""Delay calls to a failing dependency exponentially, so that retries don't overload it."""
 
 import random
 
-# The pause doubles with each failure in a row.
 INITIAL_DELAY_MS = 250
-# What a dependency may miss at most without harm, jitter included, is a second and more.
+# 1.2 s with jitter: a longer delay after a dependency has recovered would do harm.
 MAX_DELAY_MS = 800
-# Processes that lost a dependency together must not come back together: a pause is longer by up to
-# this part of it.
+# Maximum random extension of a delay, so that processes don't retry at the same time.
 JITTER_RATIO = 0.5
 
 
 class Backoff:
-    """Tell how long to pause after each failure in a row."""
+    """Compute the delay before the next call from the number of consecutive failures."""
 
-    __slots__ = ("failures", "initial_delay_ms", "undelayed_failures", "max_delay_ms")
+    __slots__ = ("failures", "initial_delay_ms", "max_delay_ms", "undelayed_failures")
 
     def __init__(
         self,
@@ -25,7 +23,7 @@
     ) -> None:
         self.initial_delay_ms = initial_delay_ms
         self.max_delay_ms = max_delay_ms
-        # Failures without a pause: most are of one call.
+        # Initial failures that are retried at once, as most failures are transient.
         self.undelayed_failures = undelayed_failures
         self.failures = 0
 
@@ -34,15 +32,15 @@
         self.failures += 1
 
     def record_success(self) -> None:
-        """Forget the failures: what the dependency is needed for has worked."""
+        """Reset the failure count."""
         self.failures = 0
 
     def delay_s(self) -> float:
         """Return the seconds to wait before the next call."""
-        paused = self.failures - self.undelayed_failures
-        if paused < 1:
+        delayed_failures = self.failures - self.undelayed_failures
+        if delayed_failures < 1:
             return 0.0
-        # The exponent is bounded, since a dependency may be away for hours.
-        doublings = min(paused - 1, 16)
-        pause_ms = min(self.max_delay_ms, self.initial_delay_ms << doublings)
-        return pause_ms * (1 + random.random() * JITTER_RATIO) / 1000
+        # Bounds the shift during outages of many hours.
+        doublings = min(delayed_failures - 1, 16)
+        delay_ms = min(self.max_delay_ms, self.initial_delay_ms << doublings)
+        return delay_ms * (1 + random.random() * JITTER_RATIO) / 1000
--- a/packages/coordination/src/mimosaspur_coordination/buckets.py
+++ b/packages/coordination/src/mimosaspur_coordination/buckets.py
@@ -1,4 +1,4 @@
-"""Limit rates by token buckets."""
+"""Limit rates with token buckets."""
 
 import threading
 
@@ -6,15 +6,15 @@
 from mimosaspur_state.clock import Deadline
 
 MS_PER_SECOND = 1000
-# A platform counts by the second, so only a part of one may come at once.
+# The platform counts calls per second, so a burst may use only part of a second's tokens.
 BURST_S = 0.25
 UNLIMITED_RATE = 0.0
 
 
 class TokenBucket:
-    """Hand out tokens at a rate for each second; a rate of 0 is no limit."""
+    """Issue tokens at a rate per second; a rate of 0 means no limit."""
 
-    __slots__ = ("burst", "clock", "refilled_at_ms", "lock", "per_second", "tokens")
+    __slots__ = ("burst", "clock", "lock", "per_second", "refilled_at_ms", "tokens")
 
     def __init__(self, per_second: float, *, clock: Clock, burst: float | None = None) -> None:
         self.per_second = per_second
@@ -25,7 +25,7 @@
         self.lock = threading.Lock()
 
     def take(self, n: int = 1) -> bool:
-        """Take n tokens if there is one now; the rest is owed, so that the average holds."""
+        """Take n tokens if at least one is available; a deficit delays later calls."""
         with self.lock:
             if self.per_second <= UNLIMITED_RATE:
                 return True
@@ -36,17 +36,17 @@
             return True
 
     def wait_ms(self) -> int:
-        """Return the milliseconds until there is a token, if nobody else takes it."""
+        """Return the milliseconds until a token is available if no other caller takes it."""
         with self.lock:
             if self.per_second <= UNLIMITED_RATE:
                 return 0
             self._refill()
             missing = max(0.0, 1 - self.tokens)
-            # Rounded up, or a waiter would wake just before its token.
+            # Rounds up, so that a waiter does not wake before its token is available.
             return -int(-missing * MS_PER_SECOND // self.per_second)
 
     def acquire(self, deadline: Deadline) -> bool:
-        """Wait for a token until the deadline; tell whether one was taken."""
+        """Wait for a token until the deadline; return whether one was taken."""
         pause = threading.Event()
         while not self.take():
             wait_ms = max(1, self.wait_ms())
--- a/packages/coordination/src/mimosaspur_coordination/demandcounter.py
+++ b/packages/coordination/src/mimosaspur_coordination/demandcounter.py
@@ -1,4 +1,4 @@
-"""Count callers' demand at an entry, over a window of a few buckets."""
+"""Count the requests at an entry in a sliding window of a few buckets."""
 
 import threading
 from collections import Counter
@@ -10,7 +10,7 @@
 
 
 class DemandCounter:
-    """Sum requests and refusals of each model over the newest buckets."""
+    """Sum the requests and rejections of each model over the most recent buckets."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
@@ -23,18 +23,18 @@
             self.requests[-1][model] += 1
 
     def count_refusal(self, model: str) -> None:
-        """Count a request that was refused as not run."""
+        """Count a request that was rejected without being run."""
         with self.lock:
             self.refusals[-1][model] += 1
 
     def rotate(self) -> None:
-        """Begin a new bucket and forget the oldest."""
+        """Start a new bucket and drop the oldest."""
         with self.lock:
             self.requests.append(Counter())
             self.refusals.append(Counter())
 
     def totals(self) -> dict[str, ModelDemand]:
-        """Return the sums of the models that had any demand."""
+        """Return the sums for the models with any requests."""
         with self.lock:
             requests = sum(self.requests, Counter[str]())
             refusals = sum(self.refusals, Counter[str]())
--- a/packages/coordination/src/mimosaspur_coordination/durations.py
+++ b/packages/coordination/src/mimosaspur_coordination/durations.py
@@ -1,42 +1,41 @@
-"""Foresee how long a request lasts, from how long those of its route have lasted."""
+"""Estimate request durations per route from measured ones."""
 
 from dataclasses import dataclass
 
-# Weights of the newest measurement in the mean and in the mean deviation, and how many deviations
-# are added to the mean: those by which TCP foresees the longest round trip (RFC 6298).
+# The parameters of TCP's retransmission timeout (RFC 6298).
 MEAN_WEIGHT = 1 / 8
 DEVIATION_WEIGHT = 1 / 4
 DEVIATION_MULTIPLIER = 4.0
-# Fewer measurements than this say nothing of the longest.
+# An upper bound from fewer measurements is unreliable.
 MIN_MEASUREMENTS = 5
 
 
 @dataclass(slots=True)
 class _Estimate:
-    """Hold a mean and a mean deviation."""
+    """Track a moving mean and mean deviation."""
 
     mean: float = 0.0
     deviation: float = 0.0
     measurements: int = 0
 
-    def add(self, measured: float) -> None:
-        """Take one more measurement."""
+    def add(self, measurement: float) -> None:
+        """Update the estimate with a measurement."""
         if not self.measurements:
-            self.mean = measured
-            self.deviation = measured / 2
+            self.mean = measurement
+            self.deviation = measurement / 2
         else:
-            error = abs(measured - self.mean)
+            error = abs(measurement - self.mean)
             self.deviation += DEVIATION_WEIGHT * (error - self.deviation)
-            self.mean += MEAN_WEIGHT * (measured - self.mean)
+            self.mean += MEAN_WEIGHT * (measurement - self.mean)
         self.measurements += 1
 
     def upper_bound(self) -> float:
-        """Return what is seldom passed."""
+        """Return a value that measurements rarely exceed."""
         return self.mean + DEVIATION_MULTIPLIER * self.deviation
 
 
 class DurationEstimator:
-    """Keep an estimate for each route: of a whole answer, and of a stream's time for each token."""
+    """Estimate per route the duration of a response, or of a stream per expected token."""
 
     __slots__ = ("routes",)
 
@@ -44,11 +43,11 @@
         self.routes: dict[str, _Estimate] = {}
 
     def record(self, route: str, duration_ms: float, *, tokens: int) -> None:
-        """Take how long an answer took, or a stream of so many expected tokens after its start."""
+        """Record the duration of a response, or of a stream after its first token."""
         self.routes.setdefault(route, _Estimate()).add(duration_ms / max(1, tokens))
 
     def upper_bound_ms(self, route: str, *, tokens: int) -> float | None:
-        """Return how long a request may well last, None if too little is known."""
+        """Return an upper bound of a request's duration, None with too few measurements."""
         estimate = self.routes.get(route)
         if estimate is None or estimate.measurements < MIN_MEASUREMENTS:
             return None
--- a/packages/coordination/src/mimosaspur_coordination/evictionoptions.py
+++ b/packages/coordination/src/mimosaspur_coordination/evictionoptions.py
@@ -1,4 +1,4 @@
-"""Hold what one target could give up without any move."""
+"""Describe the replicas that one target could evict without moving any."""
 
 from dataclasses import dataclass
 
@@ -10,9 +10,9 @@
 
 @dataclass(slots=True, frozen=True)
 class EvictionOptions:
-    """Hold a target's replicas and its room in stages, each with one more replica given up.
+    """Hold a target's replicas and its free space after 0, 1, 2, ... evictions.
 
-    It is the same for all that need room, so one pass works it out once for each target.
+    A planning pass computes it once per target, as it does not depend on what is placed.
     """
 
     residents: list[tuple[ModelEntry, Replica]]
@@ -20,7 +20,7 @@
     stages: list[Bin]
 
     def evictions_needed(self, need: Need) -> int | None:
-        """Return how many replicas must be given up for the need, or None if all aren't enough."""
+        """Return how many evictions make room for the need, None if all are not enough."""
         if not self.stages[-1].fits(need):
             return None
         return next(count for count, stage in enumerate(self.stages) if stage.fits(need))
--- a/packages/coordination/src/mimosaspur_coordination/fleetview.py
+++ b/packages/coordination/src/mimosaspur_coordination/fleetview.py
@@ -1,4 +1,4 @@
-"""Keep an entry's picture of the targets: who is there, what they hold, how busy they are."""
+"""Track the targets at an entry: their registrations, residents and load."""
 
 from collections import OrderedDict
 from collections.abc import Collection
@@ -17,9 +17,9 @@
 from mimosaspur_state.fleet import TargetRecord
 from mimosaspur_state.fleet import Work
 
-# Bounds of what is learnt of an engine, beside what is learnt of its models.
+# Bounds of an engine's estimated slowness relative to the others.
 SLOWNESS_BOUNDS = (0.2, 8.0)
-# Prompt parts remembered for each target.
+# Prompt parts tracked per target as probably cached.
 MAX_PROMPT_PARTS = 2_000
 
 
@@ -31,71 +31,71 @@
     adapter: str = ""
     prompt_tokens: int = 0
     output_tokens: int = 0
-    # Identity and tokens of the prompt's parts in order; the last one is the request's own.
+    # Identity and token count of the prompt's parts in order; the last is unique to the request.
     parts: tuple[tuple[str, int], ...] = ()
 
 
 @dataclass(slots=True)
 class TargetView:
-    """Hold what this entry knows of one target."""
+    """Hold an entry's view of one target."""
 
     record: TargetRecord
     health: TargetHealth
-    # What a model's tokens cost, the same for all targets.
+    # Token costs per model, shared by all targets.
     paces: ModelPace = field(default_factory=ModelPace)
-    # What is known of all engines of its kind.
+    # Prefill speed, shared by all engines of the service.
     speed: PrefillSpeed = field(default_factory=PrefillSpeed)
     own_work: Work = field(default_factory=Work)
-    # What the other entries have there, as the coordinator last told.
+    # The work of the other entries in the coordinator's last update.
     others_work: Work = field(default_factory=Work)
     residents: Mapping[str, frozenset[str]] = field(default_factory=dict)
-    # Models that are about to be unloaded.
+    # Models that are about to be unloaded; they take no new requests.
     unloading: frozenset[str] = frozenset()
     slowness: float = 1.0
-    # Parts of prompts that were sent there, by model and adapter.
+    # Least recently used first; the key is (model, adapter, part identity).
     prompt_parts: OrderedDict[tuple[str, str, str], int] = field(default_factory=OrderedDict)
 
     def can_run(self, prompt: Prompt) -> bool:
-        """Tell whether the target can run the prompt now."""
+        """Return whether the target holds the prompt's model and adapter."""
         adapters = self.residents.get(prompt.model)
         if adapters is None or prompt.model in self.unloading:
             return False
         return not prompt.adapter or prompt.adapter in adapters
 
     def cached_tokens(self, prompt: Prompt) -> int:
-        """Return how much of a prompt the target has read for others of this entry's requests."""
-        kept = 0
+        """Estimate how many of the prompt's tokens the target has cached from earlier requests."""
+        cached = 0
         for identity, tokens in prompt.parts[:-1]:
             if (prompt.model, prompt.adapter, identity) not in self.prompt_parts:
                 break
-            kept += tokens
-        return kept
+            cached += tokens
+        return cached
 
     def prefill_tokens(self, prompt: Prompt) -> float:
-        """Return what the target probably has to read of a prompt, in a common model's tokens."""
+        """Estimate the prefill work of a prompt in reference tokens."""
         unread = max(1, prompt.prompt_tokens - self.cached_tokens(prompt))
         return unread * self.paces.token_cost(prompt.model)
 
     def request_count(self) -> int:
-        """Return the requests that run or wait at the target, over all entries."""
+        """Return the running and queued requests of all entries at the target."""
         return self.own_work.requests + self.others_work.requests
 
     def record_stream(self, stream_ms: float) -> None:
-        """Take how long a whole stream lasted after its first event."""
-        lasting = self.speed.stream_ms
-        lasting.update(max(1.0, stream_ms) / lasting.value)
+        """Record the duration of a stream after its first event."""
+        estimate = self.speed.stream_ms
+        estimate.update(max(1.0, stream_ms) / estimate.value)
 
     def first_token_ms(self, prompt: Prompt, *, rank: int) -> float:
-        """Predict the time to the first token if the prompt were sent now with a rank."""
+        """Predict the time to first token if the prompt were sent now with a rank."""
         queued = 0.0
         for work in (self.own_work, self.others_work):
-            # What is less urgent is read later.
+            # Less urgent requests are processed later.
             queued += sum(n for other, n in work.unread.items() if other <= rank)
         own_ms = prefill_ms(self.prefill_tokens(prompt))
         return self.speed.base_ms.value + (own_ms + self.speed.queue_ms(queued)) * self.slowness
 
     def on_sent(self, prompt: Prompt, *, rank: int) -> float:
-        """Count a prompt that is sent; return the tokens counted as unread."""
+        """Count a prompt that is sent; return its prefill work."""
         unread = self.prefill_tokens(prompt)
         self.own_work.requests += 1
         self.own_work.unread[rank] = self.own_work.unread.get(rank, 0) + unread
@@ -106,7 +106,7 @@
     def on_first_token(
         self, prompt: Prompt, *, unread: float, predicted_ms: float, took_ms: float
     ) -> None:
-        """Remember a prompt that has been read, and learn from the time it took."""
+        """Track the prompt's parts as cached and update the estimates with the measured time."""
         for identity, tokens in prompt.parts[:-1]:
             key = (prompt.model, prompt.adapter, identity)
             self.prompt_parts[key] = tokens
@@ -119,37 +119,37 @@
         self.speed.record_first_token(own_ms=own_ms, queue_ms=queue_ms, took_ms=took_ms)
         if own_ms + queue_ms > self.speed.base_ms.value:
             self.paces.add_measurement(prompt.model, ratio, share=own_ms / (own_ms + queue_ms))
-        change = min(MAX_CHANGE_RATIO, max(1.0 / MAX_CHANGE_RATIO, ratio)) ** LEARNING_RATE
-        low, high = SLOWNESS_BOUNDS
-        self.slowness = min(high, max(low, self.slowness * change))
+        slowness_ratio = min(MAX_CHANGE_RATIO, max(1.0 / MAX_CHANGE_RATIO, ratio)) ** LEARNING_RATE
+        minimum, maximum = SLOWNESS_BOUNDS
+        self.slowness = min(maximum, max(minimum, self.slowness * slowness_ratio))
 
     def on_prefill_end(self, *, unread: float, rank: int) -> None:
-        """Count a prompt as read, or as given up before it was."""
+        """Subtract a prompt's prefill work once it is done or cancelled."""
         self.own_work.unread[rank] -= unread
 
     def on_end(self, prompt: Prompt) -> None:
-        """Count a prompt that has ended."""
+        """Subtract a request that has ended."""
         self.own_work.requests -= 1
         self.own_work.held_tokens -= prompt.prompt_tokens + prompt.output_tokens
-        left = self.own_work.by_model.get(prompt.model, 1) - 1
-        if left:
-            self.own_work.by_model[prompt.model] = left
+        remaining = self.own_work.by_model.get(prompt.model, 1) - 1
+        if remaining:
+            self.own_work.by_model[prompt.model] = remaining
         else:
             self.own_work.by_model.pop(prompt.model, None)
 
 
 class FleetView:
-    """Hold the targets by service; what the coordinator tells goes before registrations."""
+    """Hold the targets by service; the coordinator's updates take precedence over registrations."""
 
     __slots__ = (
+        "adaptive_queue",
         "by_service",
         "clock",
-        "adaptive_queue",
+        "coordinator_targets",
         "paces",
         "revision",
         "speeds",
         "targets",
-        "coordinator_targets",
     )
 
     def __init__(
@@ -161,28 +161,28 @@
         self.targets: dict[str, TargetView] = {}
         self.by_service: dict[str, dict[str, TargetView]] = {}
         self.speeds: dict[str, PrefillSpeed] = {}
-        # Targets whose residents the coordinator keeps up.
+        # Targets whose residents come from the coordinator.
         self.coordinator_targets: set[str] = set()
-        # The store's revision up to which changes are known.
+        # The store's revision that this view reflects.
         self.revision = 0
 
     def replace(
         self, records: Mapping[str, TargetRecord], *, keep: Collection[str] = ()
     ) -> list[str]:
-        """Take a whole list of targets; return those that have ended, but for those to keep."""
+        """Replace all targets except those to keep; return the identities of those that ended."""
         gone = [each for each in self.targets if each not in records and each not in keep]
         return self.update(records.values(), gone)
 
     def update(self, changed: Iterable[TargetRecord], removed: Iterable[str]) -> list[str]:
-        """Take what changed among the targets; return those that have ended.
+        """Apply changed and removed targets; return the identities of those that ended.
 
-        A target that has started again has ended too: nothing known of it holds any more.
+        A restarted target counts as ended, because its previous state is lost.
         """
         ended = [identity for identity in removed if self._remove(identity)]
         for record in changed:
             view = self.targets.get(record.identity)
             if view and record.started_ms < view.record.started_ms:
-                # What an earlier lifetime registered.
+                # The registration of a previous process.
                 continue
             if view and record.started_ms > view.record.started_ms:
                 self._remove(record.identity)
@@ -199,7 +199,7 @@
         return ended
 
     def _remove(self, identity: str) -> bool:
-        """Drop a target; tell whether it was known."""
+        """Remove a target; return whether it was known."""
         view = self.targets.pop(identity, None)
         if view is None:
             return False
@@ -210,7 +210,7 @@
     def set_residents(
         self, identity: str, residents: Mapping[str, frozenset[str]], closing: frozenset[str]
     ) -> None:
-        """Take the coordinator's word on what a target holds."""
+        """Apply the coordinator's update of a target's residents."""
         view = self.targets.get(identity)
         if view:
             self.coordinator_targets.add(identity)
@@ -218,7 +218,7 @@
             view.unloading = closing
 
     def on_coordinator_lost(self) -> None:
-        """Go back to what the targets register of themselves."""
+        """Fall back to the residents that the targets register themselves."""
         self.coordinator_targets.clear()
         for view in self.targets.values():
             if view.record.residents is not None:
@@ -227,10 +227,10 @@
             view.others_work = Work()
 
     def prefill_speed(self, service: str) -> PrefillSpeed:
-        """Return what is known of all engines of a service."""
+        """Return the shared prefill speed of a service's engines."""
         return self.speeds.setdefault(service, PrefillSpeed(adaptive=self.adaptive_queue))
 
     def serving_targets(self, service: str) -> list[TargetView]:
-        """Return the targets of a service that take work."""
+        """Return the targets of a service that accept new requests."""
         views = self.by_service.get(service, {}).values()
         return [view for view in views if not view.record.leaving]
--- a/packages/coordination/src/mimosaspur_coordination/hints.py
+++ b/packages/coordination/src/mimosaspur_coordination/hints.py
@@ -1,4 +1,4 @@
-"""Remember what an entry was last told of each target; all of it may be stale."""
+"""Cache the last known state of each target at an entry; any of it may be stale."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class TargetHint:
-    """Hold what is known of one target; `own` counts this entry's attempts there."""
+    """Hold the last known state of one target; in_flight counts this entry's attempts there."""
 
     name: str
     address: str
@@ -22,9 +22,9 @@
     load_at_ms: int = 0
     draining: bool = False
     leaving: bool = False
-    # The hints' order, kept when one is replaced.
+    # Sort position among the hints; kept when the target's address changes.
     order: int = 0
-    # An open connection goes before the records; what one told that is closed may be older.
+    # While connected, the target's own state takes precedence over the placement records.
     is_connected: bool = False
     disconnected_at_ms: int | None = None
     on_residents_changed: "Callable[[TargetHint], None] | None" = field(
@@ -34,7 +34,7 @@
 
     @property
     def residents(self) -> frozenset[str]:
-        """Return what the target last said to hold."""
+        """Return the residents that the target last reported."""
         return self._residents
 
     @residents.setter
@@ -44,38 +44,38 @@
             self.on_residents_changed(self)
 
     def on_connect(self, draining: bool, residents: tuple[str, ...]) -> None:
-        """Take in what a target says when a connection opens."""
+        """Apply the state that a target sends when a connection opens."""
         self.draining = draining
         self.residents = frozenset(residents)
         self.is_connected = True
         self.disconnected_at_ms = None
 
     def on_idle_close(self) -> None:
-        """Note that the connection was closed for want of work."""
+        """Record that an idle connection was closed."""
         self.is_connected = False
 
     def on_load_report(self, load: Load, draining: bool, now_ms: int) -> None:
-        """Take in a load report."""
+        """Apply a load report."""
         self.load = load
         self.load_at_ms = now_ms
         self.draining = draining
         self.in_flight_at_report = self.in_flight
 
     def on_disconnect(self, now_ms: int) -> None:
-        """Note that the connection broke or could not be made."""
+        """Record that the connection broke or could not be opened."""
         self.is_connected = False
         self.disconnected_at_ms = now_ms
         self.draining = False
 
     def is_reachable(self, now_ms: int) -> bool:
-        """Tell whether it is worth trying now."""
+        """Return whether the target is connected or its cooldown has passed."""
         return (
             self.disconnected_at_ms is None
             or now_ms - self.disconnected_at_ms > UNREACHABLE_COOLDOWN_MS
         )
 
     def estimated_load(self) -> float:
-        """Estimate its load for comparison; requests for each slot, own ones since counted in."""
+        """Estimate requests per slot, including those sent since the last load report."""
         if self.load is None:
             return float(self.in_flight)
         others = self.load.active + self.load.queued - self.in_flight_at_report
--- a/packages/coordination/src/mimosaspur_coordination/limits/__init__.py
+++ b/packages/coordination/src/mimosaspur_coordination/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Share limits among entries, though they are killed, cut off or follow another coordinator."""
+"""Share limits among entries, tolerating crashes, partitions and coordinator changes."""
--- a/packages/coordination/src/mimosaspur_coordination/limits/retrywindow.py
+++ b/packages/coordination/src/mimosaspur_coordination/limits/retrywindow.py
@@ -1,4 +1,4 @@
-"""Bound repeated arrivals at a service over all entries, each entry keeping to its part."""
+"""Limit the repeated requests to a service over all entries, each within its share."""
 
 import contextlib
 from collections import deque
@@ -8,24 +8,24 @@
 from mimosaspur_state.clock import Clock
 from mimosaspur_state.directsettings import RetryBounds
 
-# Entries count apart and learn late of one another: a part of the bound is left unused.
+# Leaves room, because entries count separately and are updated with a delay.
 USED_SHARE = 0.7
 
 
 @dataclass(slots=True, frozen=True)
 class RetryState:
-    """Hold what decides whether another repeat is allowed."""
+    """Hold the inputs of the decision on a repeat, for the log."""
 
     requests: int
     repeats: int
-    # Repeats that the window allows in all.
+    # Total repeats that the window allows.
     allowed: float
-    # This entry's part of the constant.
+    # This entry's share of the constant.
     part: float
 
 
 class RetryWindow:
-    """Allow repeats in proportion to a window's requests, plus a part of a constant."""
+    """Allow repeats as a ratio of the requests in a sliding window, plus a share of a constant."""
 
     __slots__ = ("bounds", "clock", "lease", "repeats", "requests")
 
@@ -42,12 +42,12 @@
         self._expire()
 
     def allows(self, repeats: int = 1) -> bool:
-        """Tell whether the window has so many more repeats."""
+        """Return whether the window allows this many more repeats."""
         self._expire()
         return len(self.repeats) + repeats <= self._allowance()
 
     def state(self) -> RetryState:
-        """Return what decides about the next repeat."""
+        """Return the current counts for the log."""
         self._expire()
         return RetryState(
             requests=len(self.requests),
@@ -57,14 +57,14 @@
         )
 
     def try_spend(self, repeats: int = 1) -> bool:
-        """Take so many repeats, or none if the window doesn't have all of them."""
+        """Take all of the repeats or none; return whether they were taken."""
         if not self.allows(repeats):
             return False
         self.repeats.extend([self.clock.now_ms()] * repeats)
         return True
 
     def refund(self, spent_ms: int) -> None:
-        """Return a repeat that was taken at a time and not needed."""
+        """Return an unused repeat that was taken at spent_ms."""
         with contextlib.suppress(ValueError):
             self.repeats.remove(spent_ms)
 
--- a/packages/coordination/src/mimosaspur_coordination/limits/sharelease.py
+++ b/packages/coordination/src/mimosaspur_coordination/limits/sharelease.py
@@ -1,43 +1,42 @@
-"""Lease each entry its part of a limit that all entries share within a sliding window.
+"""Lease each entry a share of a limit that applies to all entries in a sliding window.
 
-The coordinator tells by how many entries the limit is divided. An entry uses its part while it is
-told, and for the length of a lease after. So a part is given out again only when the lease and the
-window in which it may have been used have passed since its holder was last told:
+The coordinator sends the number of entries that divide the limit. An entry may use its share
+until its lease expires, and what it used counts for a window after that. So a share is reused
+only after a lease plus a window:
 
-- an entry that starts, or whose lease has run out, waits that long before it uses a part,
-- the coordinator counts an entry that is lost for that long,
-- a new coordinator, which doesn't know who followed its predecessor, tells nobody before.
+- an entry that starts, or whose lease expired, waits that long before it uses a share,
+- the coordinator counts a disconnected entry for that long,
+- a new coordinator, which doesn't know its predecessor's members, grants no shares before that.
 """
 
 from mimosaspur_state.clock import Clock
 
-# An entry may use its part for so long after it was last told.
 LEASE_MS = 3_000
 DISTANT_PAST_MS = -1_000_000_000
 
 
 def reuse_after_ms(window_ms: int) -> int:
-    """Return how long after its holder was last told a part may be used by another entry."""
+    """Return how long after its last renewal a share may be used by another entry."""
     return window_ms + LEASE_MS
 
 
 class ShareLease:
-    """Hold what this entry was told of its part."""
+    """Hold an entry's lease of its share."""
 
-    __slots__ = ("clock", "sharers", "held_since_ms", "renewed_ms", "activation_delay_ms")
+    __slots__ = ("activation_delay_ms", "clock", "held_since_ms", "renewed_ms", "sharers")
 
     def __init__(self, *, window_ms: int, clock: Clock) -> None:
-        # The clock must count the time in which the machine is suspended.
+        # The clock must include the time while the machine is suspended.
         self.clock = clock
         self.activation_delay_ms = reuse_after_ms(window_ms)
-        # Entries that the limit is divided by; 0 while the coordinator doesn't know.
+        # Entries that divide the limit; 0 while the coordinator doesn't know.
         self.sharers = 0
         self.renewed_ms = DISTANT_PAST_MS
-        # Since when this entry has been told without a gap longer than the lease.
+        # Since when the lease has been held without expiring.
         self.held_since_ms = DISTANT_PAST_MS
 
     def renew(self, sharers: int) -> None:
-        """Take what a coordinator tells now."""
+        """Renew the lease on a message from the coordinator."""
         now_ms = self.clock.now_ms()
         if now_ms - self.renewed_ms > LEASE_MS:
             self.held_since_ms = now_ms
@@ -45,49 +44,49 @@
         self.sharers = sharers
 
     def share(self) -> float:
-        """Return this entry's part of the limit, 0 if it may use none now."""
+        """Return this entry's share of the limit, 0 if it may use none now."""
         now_ms = self.clock.now_ms()
-        lapsed = now_ms - self.renewed_ms > LEASE_MS
-        if lapsed or not self.sharers or now_ms - self.held_since_ms < self.activation_delay_ms:
+        expired = now_ms - self.renewed_ms > LEASE_MS
+        if expired or not self.sharers or now_ms - self.held_since_ms < self.activation_delay_ms:
             return 0.0
         return 1.0 / self.sharers
 
 
 class SharerCount:
-    """Count the entries that may use a part, at the coordinator."""
+    """Count the entries that may hold a share, at the coordinator."""
 
-    __slots__ = ("clock", "stopped", "retention_ms", "lost_ms", "connected", "starts_at_ms")
+    __slots__ = ("clock", "connected", "disconnected_ms", "retention_ms", "starts_at_ms", "stopped")
 
     def __init__(self, *, window_ms: int, predecessor_ended_ms: int, clock: Clock) -> None:
         self.clock = clock
         self.retention_ms = reuse_after_ms(window_ms)
-        # From then on nobody uses a part that a predecessor told of.
+        # When all shares granted by a predecessor have expired.
         self.starts_at_ms = predecessor_ended_ms + self.retention_ms
         self.stopped = False
         self.connected: set[str] = set()
-        # When entries were lost.
-        self.lost_ms: dict[str, int] = {}
+        # When entries disconnected.
+        self.disconnected_ms: dict[str, int] = {}
 
     def on_connect(self, instance: str) -> None:
-        """Count an entry that follows from now on."""
+        """Count a connected entry."""
         self.connected.add(instance)
-        self.lost_ms.pop(instance, None)
+        self.disconnected_ms.pop(instance, None)
 
     def on_disconnect(self, instance: str) -> None:
-        """Take note that an entry isn't told any more."""
+        """Keep counting a disconnected entry until its share has expired."""
         self.connected.discard(instance)
-        self.lost_ms[instance] = self.clock.now_ms()
+        self.disconnected_ms[instance] = self.clock.now_ms()
 
     def stop(self) -> None:
-        """Give out no more parts."""
+        """Grant no more shares."""
         self.stopped = True
 
     def sharer_count(self) -> int:
-        """Return by how many entries the limit is divided, 0 while that isn't known."""
+        """Return how many entries divide the limit, 0 while that is unknown."""
         now_ms = self.clock.now_ms()
         if self.stopped or now_ms < self.starts_at_ms:
             return 0
-        for instance, lost_ms in list(self.lost_ms.items()):
-            if now_ms - lost_ms > self.retention_ms:
-                del self.lost_ms[instance]
-        return len(self.connected) + len(self.lost_ms)
+        for instance, disconnected_ms in list(self.disconnected_ms.items()):
+            if now_ms - disconnected_ms > self.retention_ms:
+                del self.disconnected_ms[instance]
+        return len(self.connected) + len(self.disconnected_ms)
--- a/packages/coordination/src/mimosaspur_coordination/listreadlimiter.py
+++ b/packages/coordination/src/mimosaspur_coordination/listreadlimiter.py
@@ -1,19 +1,19 @@
-"""Decide when an entry reads the instance list, which is long at a large site."""
+"""Limit how often an entry reads the instance list, which is large at a large site."""
 
 from collections.abc import Collection
 
 MS_PER_SECOND = 1000
 MAX_READ_INTERVAL_MS = 60_000
-# The list lags, so what was missing from one reading may stand in the next.
+# The list lags, so a target missing from one read may appear in the next.
 MAX_EARLY_READS = 3
 UNLIMITED_RATE = 0.0
 
 
 class ListReadLimiter:
-    """Keep the readings within bytes for each second, each paid for by time; for one task.
+    """Keep reads of the list within a byte rate; not thread-safe.
 
-    A regular reading waits until its bytes are saved up, at most LONGEST_PAUSE_MS. An early one
-    may go into debt for one reading, and the regular ones after it wait the longer.
+    A regular read waits until the budget covers the list's size, at most MAX_READ_INTERVAL_MS.
+    An early read may overdraw the budget by one list, which delays the regular reads after it.
     """
 
     def __init__(self, *, interval_ms: int, bytes_per_second: float) -> None:
@@ -27,7 +27,7 @@
         self.early_reads: dict[str, int] = {}
 
     def is_due(self, now_ms: int, unresolved: Collection[str] = ()) -> bool:
-        """Tell whether to read now; sought names the targets that a reading may tell of."""
+        """Return whether to read now; a read may resolve the unresolved targets."""
         if self.last_read_ms is None:
             return True
         self._refill(now_ms)
@@ -36,29 +36,29 @@
             and self._may_borrow()
         ):
             return True
-        past_ms = now_ms - self.last_read_ms
-        if past_ms < self.interval_ms:
+        elapsed_ms = now_ms - self.last_read_ms
+        if elapsed_ms < self.interval_ms:
             return False
-        return self.last_read_failed or self._is_covered() or past_ms >= MAX_READ_INTERVAL_MS
+        return self.last_read_failed or self._is_covered() or elapsed_ms >= MAX_READ_INTERVAL_MS
 
     def record_read(self, now_ms: int, size_bytes: int, unresolved: Collection[str] = ()) -> None:
-        """Note a reading, its size, and the targets that it still does not tell of."""
+        """Record a read, its size and the targets that it left unresolved."""
         self._refill(now_ms)
-        # The first reading is free, or whoever just started could seek nobody for long.
+        # The first read is free, so that a new process can resolve targets early.
         cost_bytes = size_bytes if self.size_bytes else 0
         self.size_bytes = size_bytes
-        # A list too long for its rate is read all the same, so what it owes has an end.
+        # Bounds the debt when the list is too large for the rate.
         self.budget_bytes = max(self.budget_bytes - cost_bytes, -float(size_bytes))
         self.early_reads = {name: self.early_reads.get(name, 0) + 1 for name in unresolved}
         self.last_read_failed = False
         self.last_read_ms = now_ms
 
     def exhausted(self) -> list[str]:
-        """Return the sought targets for which no early reading is made any more."""
-        return [name for name, times in self.early_reads.items() if times >= MAX_EARLY_READS]
+        """Return the unresolved targets that no longer trigger early reads."""
+        return [name for name, count in self.early_reads.items() if count >= MAX_EARLY_READS]
 
     def record_failure(self, now_ms: int) -> None:
-        """Note that a reading failed: the next is tried after the plain pause."""
+        """Record a failed read; the next one follows after the regular interval."""
         self.last_read_failed = True
         self.last_read_ms = now_ms
 
--- a/packages/coordination/src/mimosaspur_coordination/modelpace.py
+++ b/packages/coordination/src/mimosaspur_coordination/modelpace.py
@@ -1,32 +1,31 @@
-"""Learn how long engines take over a token of each model, beside one of a common model."""
+"""Estimate the time per prompt token of each model, relative to a reference model."""
 
 import math
 from dataclasses import dataclass
 
-# Weight of the newest measurement once some are known; the first ones count for more.
+# Minimum weight of a new measurement; the first ones weigh more.
 LEARNING_RATE = 0.15
-# One measurement says no more than this many times more or less: the queue may have been misjudged.
+# Clips the ratio of a measurement, whose queueing time may have been estimated wrongly.
 MAX_CHANGE_RATIO = 4.0
 MIN_PACE = 0.03
 MAX_PACE = 3.0
-# What all models have in common, the engines' own speed, stands under this name. A model that
-# nobody has measured is taken to cost as much.
+# Key of the factor common to all models; it is also the estimate for unmeasured models.
 ALL_ENGINES = ""
-# It moves little once it is known, so that what models differ by has something to stand on.
+# Low, so that the models' own factors have a stable reference.
 ALL_ENGINES_LEARNING_RATE = 0.005
-# A known pace moves by a tenth at most with one measurement: under load queues are misjudged often.
+# Tighter clipping for known paces, as queueing estimates are often wrong under load.
 MAX_STEADY_CHANGE_RATIO = 2.0
-# What differs by less than this part isn't worth a message.
+# Smaller changes are not worth a message.
 MIN_REPORTED_CHANGE_SHARE = 0.1
-# From so many measurements on, each further one is a small step.
+# Measurements after which a pace counts as known.
 STEADY_MEASUREMENTS = 5.0
-# No more measurements than this are counted, so that late ones keep their weight.
+# Caps the count, so that later measurements keep some weight.
 MAX_MEASUREMENTS = 200.0
 
 
 @dataclass(slots=True, frozen=True)
 class Pace:
-    """Hold a model's factor and how many measurements it rests on."""
+    """Hold a model's factor and the number of measurements behind it."""
 
     factor: float
     measurements: float
@@ -36,91 +35,93 @@
 
 
 class ModelPace:
-    """Keep a factor for all engines and one for each model, less for what is read faster."""
+    """Track a cost factor for all engines and one per model; lower means faster."""
 
-    __slots__ = ("adaptive", "measurements", "factors", "reported")
+    __slots__ = ("adaptive", "factors", "measurements", "reported")
 
     def __init__(self, *, adaptive: bool = True) -> None:
         self.adaptive = adaptive
         self.factors: dict[str, float] = {}
         self.measurements: dict[str, float] = {}
-        # The factors as this process last told or was told them.
+        # The factors last sent to or received from the coordinator.
         self.reported: dict[str, float] = {}
 
     def token_cost(self, model: str) -> float:
-        """Return what a model's token costs, in tokens of a common model on a common engine."""
+        """Return the cost of a model's token in reference tokens."""
         return self.factor(ALL_ENGINES) * self.factor(model)
 
     def factor(self, name: str) -> float:
-        """Return the factor of a model, or of the engines; 1 until measured."""
+        """Return the factor of a model or of all engines, 1 until measured."""
         return self.factors.get(name, 1.0)
 
     def add_measurement(self, model: str, ratio: float, *, share: float) -> None:
-        """Take a time to a first token, as measured over predicted.
+        """Update the factors with the ratio of measured to predicted time to first token.
 
-        `share` is the part of the predicted time in which the model itself was read.
+        `share` is the request's own prefill time divided by the predicted time.
         """
         if not self.adaptive:
             return
-        left = ratio / self._update_factor(
-            ALL_ENGINES, ratio, share=share, newest=ALL_ENGINES_LEARNING_RATE
+        model_ratio = ratio / self._update_factor(
+            ALL_ENGINES, ratio, share=share, min_weight=ALL_ENGINES_LEARNING_RATE
+        )
+        self._update_factor(model, model_ratio, share=share, min_weight=LEARNING_RATE)
+
+    def _update_factor(self, name: str, ratio: float, *, share: float, min_weight: float) -> float:
+        """Move a factor towards a measurement; return the ratio of the new to the old factor."""
+        measurements = self.measurements.get(name, 0.0)
+        weight = share * max(min_weight, 1.0 / (measurements + 1.0))
+        max_ratio = (
+            MAX_STEADY_CHANGE_RATIO if measurements >= STEADY_MEASUREMENTS else MAX_CHANGE_RATIO
         )
-        self._update_factor(model, left, share=share, newest=LEARNING_RATE)
-
-    def _update_factor(self, name: str, ratio: float, *, share: float, newest: float) -> float:
-        """Move a factor towards a measured one; return by how much it moved."""
-        known = self.measurements.get(name, 0.0)
-        weight = share * max(newest, 1.0 / (known + 1.0))
-        most = MAX_STEADY_CHANGE_RATIO if known >= STEADY_MEASUREMENTS else MAX_CHANGE_RATIO
         old = self.factor(name)
-        new = old * min(most, max(1.0 / most, ratio)) ** weight
+        new = old * min(max_ratio, max(1.0 / max_ratio, ratio)) ** weight
         self.factors[name] = min(MAX_PACE, max(MIN_PACE, new))
-        self.measurements[name] = min(MAX_MEASUREMENTS, known + share)
+        self.measurements[name] = min(MAX_MEASUREMENTS, measurements + share)
         return self.factors[name] / old
 
     def take_changes(self) -> dict[str, Pace]:
-        """Return the models whose factors have changed since they were last told."""
-        news = {}
+        """Return the paces that changed since the last report, and mark them as reported."""
+        changed = {}
         for model, factor in self.factors.items():
-            told = self.reported.get(model, 1.0)
-            if abs(factor - told) > MIN_REPORTED_CHANGE_SHARE * told:
-                news[model] = Pace(factor, self.measurements[model])
+            previous = self.reported.get(model, 1.0)
+            if abs(factor - previous) > MIN_REPORTED_CHANGE_SHARE * previous:
+                changed[model] = Pace(factor, self.measurements[model])
                 self.reported[model] = factor
-        return news
+        return changed
 
     def apply_shared(self, model: str, pace: Pace) -> None:
-        """Take a factor that rests on the measurements of other processes too."""
+        """Replace a factor by one that was combined from several processes."""
         self.factors[model] = self.reported[model] = pace.factor
         self.measurements[model] = pace.measurements
 
 
 class SharedPaces:
-    """Put together the factors that several processes have learnt."""
+    """Combine the factors that several processes have measured."""
 
-    __slots__ = ("pending_changes", "paces")
+    __slots__ = ("paces", "pending_changes")
 
     def __init__(self) -> None:
         self.paces: dict[str, Pace] = {}
-        # What was heard of each model since it was last told: changes of its factor's logarithm.
+        # Reported changes of the logarithm of each model's factor since the last update.
         self.pending_changes: dict[str, list[float]] = {}
 
     def add_report(self, model: str, pace: Pace) -> None:
-        """Take a factor that another process has learnt, starting from the one it was told."""
-        told = self.paces.get(model, UNKNOWN_PACE)
-        self.pending_changes.setdefault(model, []).append(math.log(pace.factor / told.factor))
+        """Add a factor that another process measured, starting from the shared one."""
+        previous = self.paces.get(model, UNKNOWN_PACE)
+        self.pending_changes.setdefault(model, []).append(math.log(pace.factor / previous.factor))
 
     def take_changes(self) -> dict[str, Pace]:
-        """Return the factors that have changed since the last call."""
-        news = {}
+        """Combine the reported changes and return the new factors."""
+        changed = {}
         for model, changes in self.pending_changes.items():
             old = self.paces.get(model, UNKNOWN_PACE)
             mean = sum(changes) / len(changes)
             if old.measurements >= STEADY_MEASUREMENTS:
-                # Each is a small step towards the same factor, from where all of them stood.
+                # Each report is a small step from the same shared factor towards the same value.
                 mean *= (1.0 - (1.0 - LEARNING_RATE) ** len(changes)) / LEARNING_RATE
             factor = old.factor * min(MAX_CHANGE_RATIO, max(1.0 / MAX_CHANGE_RATIO, math.exp(mean)))
             measurements = min(MAX_MEASUREMENTS, old.measurements + len(changes))
-            news[model] = Pace(min(MAX_PACE, max(MIN_PACE, factor)), measurements)
+            changed[model] = Pace(min(MAX_PACE, max(MIN_PACE, factor)), measurements)
         self.pending_changes.clear()
-        self.paces.update(news)
-        return news
+        self.paces.update(changed)
+        return changed
--- a/packages/coordination/src/mimosaspur_coordination/ports.py
+++ b/packages/coordination/src/mimosaspur_coordination/ports.py
@@ -1,4 +1,4 @@
-"""Define what the callers' side asks of the entry's decisions."""
+"""Define the interface between the callers' connections and the dispatcher."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """Hold an answer that has begun; chunks raises MimosaspurError if it can't be completed."""
+    """Hold a started response; iterating chunks raises MimosaspurError if it fails midway."""
 
     status: int
     content_type: str
@@ -28,24 +28,24 @@
 
 
 class Dispatcher(Protocol):
-    """Serve callers' requests."""
+    """Dispatch callers' requests to targets."""
 
     def dispatch(self, work: Work, deadline_ms: int, gone: Callable[[], bool]) -> Answer:
-        """Have a request run and return its answer; raise MimosaspurError.
+        """Run a request and return its response; raise MimosaspurError.
 
-        `gone` tells whether the caller has left; then the work is cancelled. Closing the
-        chunks iterator before its end cancels too.
+        The work is cancelled once `gone` returns true, as the caller has disconnected, or when
+        the chunks iterator is closed before its end.
         """
         ...
 
     def models(self) -> list[ModelCard]:
-        """Return what the bundle in force serves."""
+        """Return the models and adapters of the current bundle."""
         ...
 
     def generation(self) -> int:
-        """Return the generation in force here, 0 before the first."""
+        """Return the generation of the current bundle, 0 before the first."""
         ...
 
     def ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Return whether this entry can serve callers."""
         ...
--- a/packages/coordination/src/mimosaspur_coordination/quota/__init__.py
+++ b/packages/coordination/src/mimosaspur_coordination/quota/__init__.py
@@ -1,4 +1,4 @@
-"""Hold workspaces to their quotas over all entries; for entries that reach targets by themselves.
+"""Enforce workspace quotas over all entries that reach targets directly.
 
-The coordinator counts what all entries spend and tells them what is left; no request waits for it.
+The coordinator sums the entries' spending and sends them what is left; no request waits for it.
 """
--- a/packages/coordination/src/mimosaspur_coordination/quota/account.py
+++ b/packages/coordination/src/mimosaspur_coordination/quota/account.py
@@ -1,4 +1,4 @@
-"""Hold what one entry knows of one workspace's quota."""
+"""Track the state of one workspace's quota at one entry."""
 
 from collections import deque
 
@@ -9,97 +9,94 @@
 from mimosaspur_state.directsettings import QuotaBounds
 from mimosaspur_state.workspaces import Quota
 
-# Below this part of a full bucket a quota is taken for nearly used up.
+# Below this share of a full bucket, a quota counts as nearly used up.
 LOW_WATERMARK_SHARE = 0.5
-# This part of a quota is shared evenly, so that an entry whose first callers come has some of it.
+# Split evenly, so that an entry has some quota when its first requests arrive.
 EVENLY_SPLIT_SHARE = 0.1
-# A request costs so much until one has come.
+# The assumed cost of a request before the first one.
 INITIAL_COST = 1.0
 COST_WEIGHT = 0.1
-# Reports that weren't counted yet, at ten and more a second: a coordinator that counts none for so
-# many has long been given up.
+# At ten or more reports a second, a coordinator that acknowledges none of these is long replaced.
 MAX_UNCOUNTED_REPORTS = 256
 
 
-def demand_share(asked_here: float, asked_by_all: float, entries: int) -> float:
-    """Return the part of a quota that is an entry's; all entries' parts come to one."""
+def demand_share(own_demand: float, total_demand: float, entries: int) -> float:
+    """Return an entry's share of a quota; the shares of all entries sum to one."""
     even = 1.0 / max(1, entries)
-    asked = min(1.0, asked_here / asked_by_all) if asked_by_all else even
-    return asked * (1.0 - EVENLY_SPLIT_SHARE) + even * EVENLY_SPLIT_SHARE
+    by_demand = min(1.0, own_demand / total_demand) if total_demand else even
+    return by_demand * (1.0 - EVENLY_SPLIT_SHARE) + even * EVENLY_SPLIT_SHARE
 
 
 class QuotaAccount:
-    """Hold what one entry knows of one workspace's quota."""
+    """Track the state of one workspace's quota at one entry."""
 
     __slots__ = (
-        "may_overdraw",
-        "fallback",
+        "counted_spent",
         "demand",
-        "total_demand_per_s",
-        "own_demand_per_s",
+        "fallback",
+        "may_overdraw",
         "mean_cost",
-        "counted_spent",
-        "scheduled_retries",
+        "own_demand_per_s",
         "quota",
         "refused",
-        "uncounted_reports",
+        "reported_refused",
+        "reported_spent",
         "rounding_threshold",
+        "scheduled_retries",
         "shared",
         "spent",
-        "reported_refused",
-        "reported_spent",
+        "total_demand_per_s",
+        "uncounted_reports",
     )
 
     def __init__(self, quota: Quota, bounds: QuotaBounds, now_ms: int) -> None:
         self.quota = quota
-        # What all entries have left, as it was last told; what this entry spent since then and
-        # wasn't counted is still to be taken off.
+        # What all entries have left by the last update, without this entry's uncounted spending.
         self.shared = QuotaBucket(
             capacity=bucket_capacity(quota, bounds),
             per_s=refill_per_s(quota, bounds),
             content=bucket_capacity(quota, bounds),
             at_ms=now_ms,
         )
-        # This entry's own share while nobody tells.
+        # This entry's own share while there are no updates from a coordinator.
         self.fallback: QuotaBucket | None = None
-        # Whether one request may go ahead of that share.
+        # Whether one request may exceed that share.
         self.may_overdraw = False
         self.demand = DecayingRate(now_ms)
-        # What a second asked of all entries when that was last told, and of this one at that time:
-        # taken together, so that the entries' shares don't come to more than one.
+        # Demand at all entries by the last update, and at this one at that time: taken together,
+        # so that the entries' shares don't sum to more than one.
         self.total_demand_per_s = 0.0
         self.own_demand_per_s = 0.0
-        # What a request costs, at the mean.
         self.mean_cost = INITIAL_COST
-        # Sums since this process began: what was spent and refused, up to where that was told, and
-        # up to where the coordinator has counted it.
+        # Totals since the process started: spent and refused, the part of them that was reported,
+        # and the part that the coordinator has counted.
         self.spent = 0.0
         self.refused = 0.0
         self.reported_spent = 0.0
         self.reported_refused = 0.0
         self.counted_spent = 0.0
         self.uncounted_reports: deque[tuple[int, float]] = deque(maxlen=MAX_UNCOUNTED_REPORTS)
-        # Which part of a request has to be covered where less than one may be there.
+        # The share of a request's cost that must be covered where less than one may be available.
         self.rounding_threshold = 1.0
-        # What was refused and told to come back, by when it will be covered.
+        # Refused requests that were given a retry time, as (time in ms, cost).
         self.scheduled_retries: deque[tuple[float, float]] = deque()
 
     def record_demand(self, cost: float, now_ms: int) -> None:
-        """Count a request, whatever becomes of it."""
+        """Record the demand of a request, whether or not it is admitted."""
         self.demand.add(cost, now_ms)
         if self.mean_cost == INITIAL_COST:
             self.mean_cost = cost
         self.mean_cost += (cost - self.mean_cost) * COST_WEIGHT
 
     def uncounted_spent(self) -> float:
-        """Return what this entry has spent that isn't in what it was told."""
+        """Return what this entry spent that the last update doesn't include."""
         return self.spent - self.counted_spent
 
     def share(self, entries: int) -> float:
-        """Return the part of the quota that this entry's callers ask for."""
+        """Return this entry's share of the quota by its demand."""
         return demand_share(self.own_demand_per_s, self.total_demand_per_s, entries)
 
     def is_below_quota(self, now_ms: int) -> bool:
-        """Tell whether callers asked for less than the quota, and had left plenty of it."""
+        """Return whether demand was below the quota and enough of the quota was left."""
         plenty = self.shared.at(now_ms) >= LOW_WATERMARK_SHARE * self.shared.capacity
         return plenty and self.total_demand_per_s <= self.quota.per_s
--- a/packages/coordination/src/mimosaspur_coordination/quota/bounds.py
+++ b/packages/coordination/src/mimosaspur_coordination/quota/bounds.py
@@ -1,28 +1,27 @@
-"""Work out how much of a quota a bucket holds."""
+"""Compute the bucket capacity and refill rate of a quota."""
 
 from mimosaspur_state.directsettings import QuotaBounds
 from mimosaspur_state.workspaces import Quota
 
-# Entries learn of one another's spending with a delay, and callers' clocks differ from ours: this
-# part of what a quota may be passed by is kept for that. The rest is what a bucket holds.
+# The share of the allowed overage reserved for update delays and differing clocks; the rest is
+# the bucket's capacity.
 RESERVED_SHARE = 0.6
-# A window has room for the rate and a burst. So much of the burst comes with the refill; the rest
-# is kept for what entries spend that are cut off from the others.
+# The share of the burst added to the refill rate; the rest is reserved for partitioned entries.
 BURST_REFILL_SHARE = 0.5
 
 
 def max_overage(quota: Quota, bounds: QuotaBounds) -> float:
-    """Return by how much a quota may be passed in any window."""
+    """Return by how much a quota may be exceeded in any window."""
     return _window_allowance(quota, bounds) * bounds.overage + bounds.slack
 
 
 def refill_per_s(quota: Quota, bounds: QuotaBounds) -> float:
-    """Return what a second adds: over a whole window it comes to the rate and part of a burst."""
+    """Return the refill per second, which over a window adds up to the rate and part of a burst."""
     return quota.per_s + BURST_REFILL_SHARE * quota.burst * 1000 / bounds.window_ms
 
 
 def bucket_capacity(quota: Quota, bounds: QuotaBounds) -> float:
-    """Return the most that a bucket may hold; with the refill no window has more than it may."""
+    """Return the bucket capacity, which with the refill keeps any window within its maximum."""
     return (1.0 - RESERVED_SHARE) * max_overage(quota, bounds)
 
 
--- a/packages/coordination/src/mimosaspur_coordination/quota/decayingrate.py
+++ b/packages/coordination/src/mimosaspur_coordination/quota/decayingrate.py
@@ -1,13 +1,13 @@
-"""Measure a rate that follows its callers within seconds."""
+"""Measure a rate with exponential decay."""
 
 import math
 
-# A workspace's callers come and go within seconds; a shorter time would follow single requests.
+# Short enough for callers that come and go within seconds, long enough to smooth single requests.
 TIME_CONSTANT_MS = 2_000
 
 
 class DecayingRate:
-    """Hold an amount a second, in which what is older counts for less."""
+    """Hold an amount per second that decays exponentially."""
 
     __slots__ = ("at_ms", "per_s")
 
@@ -16,12 +16,12 @@
         self.at_ms = now_ms
 
     def add(self, amount: float, now_ms: int) -> None:
-        """Count an amount."""
+        """Add an amount."""
         self.per_s = self.at(now_ms) + amount * 1000 / TIME_CONSTANT_MS
         self.at_ms = now_ms
 
     def add_rate(self, per_s: float, now_ms: int) -> None:
-        """Go on from a rate that was measured elsewhere."""
+        """Add a rate that was measured elsewhere."""
         self.per_s = self.at(now_ms) + per_s
         self.at_ms = now_ms
 
--- a/packages/coordination/src/mimosaspur_coordination/quota/disconnectedentries.py
+++ b/packages/coordination/src/mimosaspur_coordination/quota/disconnectedentries.py
@@ -1,4 +1,4 @@
-"""Set aside what entries may spend that the coordinator doesn't hear any more."""
+"""Reserve the quota that disconnected entries may still be spending."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -6,17 +6,16 @@
 
 @dataclass(slots=True, frozen=True)
 class _Reservation:
-    """Hold since when an entry is absent, and what a second is set aside for it."""
+    """Hold the time of a disconnection and the reserved amount per second."""
 
     since_ms: int
     per_s: Mapping[str, float]
 
 
 class DisconnectedEntries:
-    """Keep the shares of entries whose links have ended.
+    """Reserve the shares of disconnected entries.
 
-    One that is only cut off goes on to spend its share, as long as its callers reach it. After a
-    whole window it is taken for gone.
+    A partitioned entry continues to spend its share. After a whole window it is assumed dead.
     """
 
     __slots__ = ("reservations", "window_ms")
@@ -26,28 +25,30 @@
         self.reservations: dict[str, _Reservation] = {}
 
     def add(self, entry: str, per_s: Mapping[str, float], now_ms: int) -> None:
-        """Set aside an entry's shares, in amounts a second by workspace."""
+        """Reserve an entry's shares, in amounts per second by workspace."""
         self.reservations[entry] = _Reservation(now_ms, per_s)
 
     def remove(self, entry: str, now_ms: int) -> dict[str, float]:
-        """Set nothing more aside for an entry; return what was, which it accounts for itself."""
-        absent = self.reservations.pop(entry, None)
-        if absent is None:
+        """End an entry's reservation; return the reserved amounts, as it reports what it spent."""
+        reservation = self.reservations.pop(entry, None)
+        if reservation is None:
             return {}
-        absent_s = (now_ms - absent.since_ms) / 1000
-        return {workspace: per_s * absent_s for workspace, per_s in absent.per_s.items()}
+        disconnected_s = (now_ms - reservation.since_ms) / 1000
+        return {workspace: per_s * disconnected_s for workspace, per_s in reservation.per_s.items()}
 
     def expire(self, now_ms: int) -> bool:
-        """Take those for gone that are absent for a whole window; tell whether there were any."""
-        gone = [
+        """Drop reservations that are a whole window old; return whether there were any."""
+        expired = [
             entry
-            for entry, absent in self.reservations.items()
-            if now_ms - absent.since_ms >= self.window_ms
+            for entry, reservation in self.reservations.items()
+            if now_ms - reservation.since_ms >= self.window_ms
         ]
-        for entry in gone:
+        for entry in expired:
             del self.reservations[entry]
-        return bool(gone)
+        return bool(expired)
 
     def reserved_per_s(self, workspace: str) -> float:
-        """Return what a second of a workspace's quota is set aside."""
-        return sum(absent.per_s.get(workspace, 0.0) for absent in self.reservations.values())
+        """Return the reserved amount per second of a workspace's quota."""
+        return sum(
+            reservation.per_s.get(workspace, 0.0) for reservation in self.reservations.values()
+        )
--- a/packages/coordination/src/mimosaspur_coordination/quota/ledger.py
+++ b/packages/coordination/src/mimosaspur_coordination/quota/ledger.py
@@ -1,4 +1,4 @@
-"""Count all entries' spending at the coordinator."""
+"""Account for the spending of all entries at the coordinator."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -17,168 +17,171 @@
 from mimosaspur_state.workspaces import Quota
 from mimosaspur_state.workspaces import Workspace
 
-# Entries needn't hear of what differs by less than this part of a bucket from what they expect,
-# nor of demand that has changed by less than this part.
+# Smaller deviations from what entries expect, as shares of a bucket and of the demand, are not
+# sent.
 UPDATE_THRESHOLD_SHARE = 0.05
 DEMAND_UPDATE_THRESHOLD_SHARE = 0.25
-# By then all entries that follow a new coordinator have reported what they spent before.
+# The time for entries to connect to a new coordinator and report their earlier spending.
 REPORTS_SETTLE_MS = 1_000
-# A bucket of which it is unknown what was spent before begins with this part: several coordinators
-# that know nothing may follow one another within a window.
+# The initial content of a bucket without known spending: not full, because several coordinators
+# without that knowledge may follow one another within a window.
 UNKNOWN_INITIAL_SHARE = 0.5
-# Under this name entries are absent of which only the number is known.
+# Key of the reservation for entries of which only the number is known.
 UNIDENTIFIED_ENTRIES = ""
 
 
 class _QuotaUsage:
-    """Hold what all entries have left of one quota, and what they were told."""
+    """Hold what all entries have left of one quota, and what was last sent to them."""
 
-    __slots__ = ("demand", "provisional", "bucket", "quota", "last_sent", "last_sent_demand_per_s")
+    __slots__ = ("bucket", "demand", "last_sent", "last_sent_demand_per_s", "provisional", "quota")
 
-    def __init__(self, quota: Quota, level: QuotaBucket, expected: QuotaBucket | None) -> None:
+    def __init__(self, quota: Quota, bucket: QuotaBucket, provisional: QuotaBucket | None) -> None:
         self.quota = quota
-        self.bucket = level
-        # What is told until all entries have reported what they spent while nobody counted.
-        self.provisional = expected
-        self.demand = DecayingRate(level.at_ms)
-        # What entries expect to be left.
-        begun = expected or level
+        self.bucket = bucket
+        # Sent instead of the bucket until all entries have reported their earlier spending.
+        self.provisional = provisional
+        self.demand = DecayingRate(bucket.at_ms)
+        # What entries expect to be left, by the last update.
+        initial = provisional or bucket
         self.last_sent = QuotaBucket(
-            capacity=begun.capacity, per_s=level.per_s, content=begun.content, at_ms=level.at_ms
+            capacity=initial.capacity,
+            per_s=bucket.per_s,
+            content=initial.content,
+            at_ms=bucket.at_ms,
         )
         self.last_sent_demand_per_s = 0.0
 
 
 class QuotaLedger:
-    """Count what all entries spend of each quota."""
+    """Account for what all entries spend of each quota."""
 
-    __slots__ = ("disconnected", "demand_by_entry", "bounds", "clock", "usages", "settles_at_ms")
+    __slots__ = ("bounds", "clock", "demand_by_entry", "disconnected", "settles_at_ms", "usages")
 
     def __init__(self, bounds: QuotaBounds, *, clock: Clock) -> None:
         self.bounds = bounds
         self.clock = clock
         self.usages: dict[str, _QuotaUsage] = {}
         self.settles_at_ms = 0
-        # What is asked of each entry, by workspace.
+        # Demand by entry and workspace.
         self.demand_by_entry: dict[str, dict[str, DecayingRate]] = {}
         self.disconnected = DisconnectedEntries(bounds.window_ms)
 
     def configure(
         self,
         workspaces: Iterable[Workspace],
-        known: Mapping[str, QuotaAccount],
+        accounts: Mapping[str, QuotaAccount],
         *,
         last_update_ms: int = 0,
     ) -> None:
-        """Take the quotas of a configuration; those that are new here go on from what is known.
+        """Apply the quotas of a configuration; new ones continue from the known accounts.
 
-        Since it was told, entries have spent what refilled meanwhile, or part of it, and report
-        it soon: so the refill isn't cut off at a full bucket before that.
+        Since the last update entries have spent some of the refill and will report it, so the
+        refill is not capped at the capacity until they have.
         """
         now_ms = self.clock.now_ms()
-        begins = not self.usages
-        if begins:
+        is_first = not self.usages
+        if is_first:
             self.settles_at_ms = now_ms + REPORTS_SETTLE_MS
-        old = self.usages
+        previous = self.usages
         self.usages = {}
         for workspace in workspaces:
             quota = workspace.quota
             if quota is None:
                 continue
-            counted = old.get(workspace.name)
+            usage = previous.get(workspace.name)
             capacity = bucket_capacity(quota, self.bounds)
-            if counted is None:
-                account = known.get(workspace.name)
-                known_lately = account and now_ms - last_update_ms <= self.bounds.window_ms
-                if account and known_lately:
-                    counted = self._resumed_usage(quota, account, last_update_ms, now_ms)
+            if usage is None:
+                account = accounts.get(workspace.name)
+                is_recent = account and now_ms - last_update_ms <= self.bounds.window_ms
+                if account and is_recent:
+                    usage = self._resumed_usage(quota, account, last_update_ms, now_ms)
                 else:
-                    counted = self._new_usage(quota, now_ms, unknown=begins)
-            elif counted.quota != quota:
-                counted.quota = quota
-                counted.provisional = None
-                for each in (counted.bucket, counted.last_sent):
+                    usage = self._new_usage(quota, now_ms, unknown=is_first)
+            elif usage.quota != quota:
+                usage.quota = quota
+                usage.provisional = None
+                for each in (usage.bucket, usage.last_sent):
                     each.resize(
                         capacity=capacity, per_s=refill_per_s(quota, self.bounds), now_ms=now_ms
                     )
-            self.usages[workspace.name] = counted
+            self.usages[workspace.name] = usage
 
     def _new_usage(self, quota: Quota, now_ms: int, *, unknown: bool) -> _QuotaUsage:
-        """Begin to count a new quota, or one of which it is unknown what was spent before."""
+        """Start a new quota, or one whose earlier spending is unknown."""
         capacity = bucket_capacity(quota, self.bounds)
-        level = QuotaBucket(
+        bucket = QuotaBucket(
             capacity=capacity,
             per_s=refill_per_s(quota, self.bounds),
             content=UNKNOWN_INITIAL_SHARE * capacity if unknown else capacity,
             at_ms=now_ms,
         )
-        return _QuotaUsage(quota, level, None)
+        return _QuotaUsage(quota, bucket, None)
 
     def _resumed_usage(
-        self, quota: Quota, account: QuotaAccount, told_ms: int, now_ms: int
+        self, quota: Quota, account: QuotaAccount, last_update_ms: int, now_ms: int
     ) -> _QuotaUsage:
-        """Go on from what the last coordinator told."""
+        """Continue from the previous coordinator's last update."""
         capacity = bucket_capacity(quota, self.bounds)
         per_s = refill_per_s(quota, self.bounds)
-        silent_s = (now_ms - told_ms) / 1000
-        known = account.shared.at(told_ms)
+        elapsed_s = (now_ms - last_update_ms) / 1000
+        content = account.shared.at(last_update_ms)
         unbounded = QuotaBucket(
-            capacity=float("inf"), per_s=per_s, content=known + per_s * silent_s, at_ms=now_ms
+            capacity=float("inf"), per_s=per_s, content=content + per_s * elapsed_s, at_ms=now_ms
         )
-        spent = min(account.total_demand_per_s, per_s) * silent_s
-        expected = QuotaBucket(
+        spent = min(account.total_demand_per_s, per_s) * elapsed_s
+        provisional = QuotaBucket(
             capacity=capacity,
             per_s=per_s - min(account.total_demand_per_s, per_s),
-            content=known + per_s * silent_s - spent,
+            content=content + per_s * elapsed_s - spent,
             at_ms=now_ms,
         )
-        counted = _QuotaUsage(quota, unbounded, expected)
-        counted.demand.add_rate(account.total_demand_per_s, now_ms)
-        return counted
+        usage = _QuotaUsage(quota, unbounded, provisional)
+        usage.demand.add_rate(account.total_demand_per_s, now_ms)
+        return usage
 
     def record_spending(
         self, entry: str, spendings: Iterable[Spending], *, first: bool = False
     ) -> None:
-        """Take an entry's spending since its last report; its first is of the time before."""
+        """Record an entry's spending; its first report covers the time before it connected."""
         now_ms = self.clock.now_ms()
-        asked = self.demand_by_entry.setdefault(entry, {})
+        demand = self.demand_by_entry.setdefault(entry, {})
         if first:
             self._release_reservation(entry, now_ms)
         for spending in spendings:
-            counted = self.usages.get(spending.workspace)
-            if counted:
-                counted.bucket.take(spending.spent, now_ms)
-                if counted.provisional and not first:
-                    counted.provisional.take(spending.spent, now_ms)
+            usage = self.usages.get(spending.workspace)
+            if usage:
+                usage.bucket.take(spending.spent, now_ms)
+                if usage.provisional and not first:
+                    usage.provisional.take(spending.spent, now_ms)
                 amount = max(0.0, spending.spent) + spending.refused
-                counted.demand.add(amount, now_ms)
-                if spending.workspace not in asked:
-                    asked[spending.workspace] = DecayingRate(now_ms)
-                asked[spending.workspace].add(amount, now_ms)
+                usage.demand.add(amount, now_ms)
+                if spending.workspace not in demand:
+                    demand[spending.workspace] = DecayingRate(now_ms)
+                demand[spending.workspace].add(amount, now_ms)
 
     def on_disconnect(self, entry: str, *, entries: int, silent_ms: int) -> None:
-        """Set aside the shares of an entry that may go on, and hasn't been heard for a time."""
+        """Reserve the shares of a disconnected entry, which may still be spending."""
         now_ms = self.clock.now_ms()
-        asked = self.demand_by_entry.pop(entry, {})
+        demand = self.demand_by_entry.pop(entry, {})
         per_s = {}
-        for name, counted in self.usages.items():
-            own = asked[name].at(now_ms) if name in asked else 0.0
-            share = demand_share(own, counted.demand.at(now_ms), entries)
-            per_s[name] = share * refill_per_s(counted.quota, self.bounds)
-            counted.bucket.take(per_s[name] * silent_ms / 1000, now_ms)
+        for name, usage in self.usages.items():
+            own_demand = demand[name].at(now_ms) if name in demand else 0.0
+            share = demand_share(own_demand, usage.demand.at(now_ms), entries)
+            per_s[name] = share * refill_per_s(usage.quota, self.bounds)
+            usage.bucket.take(per_s[name] * silent_ms / 1000, now_ms)
         self.disconnected.add(entry, per_s, now_ms - silent_ms)
         self._update_refill(now_ms)
 
     def reserve_missing(self, missing: int, *, entries: int, silent_ms: int) -> None:
-        """Set aside even shares for entries that the last coordinator knew and this one doesn't."""
-        part = missing / max(1, entries)
+        """Reserve even shares for entries that only the previous coordinator knew."""
+        missing_share = missing / max(1, entries)
         now_ms = self.clock.now_ms()
         per_s = {
-            name: part * refill_per_s(counted.quota, self.bounds)
-            for name, counted in self.usages.items()
+            name: missing_share * refill_per_s(usage.quota, self.bounds)
+            for name, usage in self.usages.items()
         }
-        for name, counted in self.usages.items():
-            counted.bucket.take(per_s[name] * silent_ms / 1000, now_ms)
+        for name, usage in self.usages.items():
+            usage.bucket.take(per_s[name] * silent_ms / 1000, now_ms)
         self.disconnected.add(UNIDENTIFIED_ENTRIES, per_s, now_ms)
         self._update_refill(now_ms)
 
@@ -189,59 +192,57 @@
         self._update_refill(now_ms)
 
     def _update_refill(self, now_ms: int) -> None:
-        for name, counted in self.usages.items():
-            per_s = refill_per_s(counted.quota, self.bounds) - self.disconnected.reserved_per_s(
-                name
-            )
-            capacity = counted.bucket.capacity
-            counted.bucket.resize(capacity=capacity, per_s=max(0.0, per_s), now_ms=now_ms)
+        for name, usage in self.usages.items():
+            per_s = refill_per_s(usage.quota, self.bounds) - self.disconnected.reserved_per_s(name)
+            capacity = usage.bucket.capacity
+            usage.bucket.resize(capacity=capacity, per_s=max(0.0, per_s), now_ms=now_ms)
 
     def snapshot(self) -> list[Remaining]:
-        """Return what somebody has to hear who knows nothing yet."""
+        """Return what is left of all quotas, for a new entry."""
         now_ms = self.clock.now_ms()
         return [self._remaining(name, each, now_ms) for name, each in self.usages.items()]
 
     def take_updates(self) -> list[Remaining]:
-        """Return what differs from what entries expect, and count it as told."""
+        """Return what differs from what entries expect, and mark it as sent."""
         now_ms = self.clock.now_ms()
         self._settle(now_ms)
         if self.disconnected.expire(now_ms):
             self._update_refill(now_ms)
-        news = []
-        for name, counted in self.usages.items():
-            remaining = self._remaining(name, counted, now_ms)
-            if self._matches_last_sent(counted, remaining, now_ms):
+        updates = []
+        for name, usage in self.usages.items():
+            remaining = self._remaining(name, usage, now_ms)
+            if self._matches_last_sent(usage, remaining, now_ms):
                 continue
-            counted.last_sent.content, counted.last_sent.at_ms = remaining.content, now_ms
-            counted.last_sent_demand_per_s = remaining.asked_per_s
-            news.append(remaining)
-        return news
+            usage.last_sent.content, usage.last_sent.at_ms = remaining.content, now_ms
+            usage.last_sent_demand_per_s = remaining.asked_per_s
+            updates.append(remaining)
+        return updates
 
     def _settle(self, now_ms: int) -> None:
-        """Rely on what was counted once all entries have had the time to report."""
+        """Switch from the provisional figures to the buckets after the settling time."""
         if now_ms < self.settles_at_ms:
             return
-        for counted in self.usages.values():
-            if counted.provisional:
-                counted.provisional = None
-                quota = counted.quota
-                counted.bucket.resize(
+        for usage in self.usages.values():
+            if usage.provisional:
+                usage.provisional = None
+                quota = usage.quota
+                usage.bucket.resize(
                     capacity=bucket_capacity(quota, self.bounds),
-                    per_s=counted.bucket.per_s,
+                    per_s=usage.bucket.per_s,
                     now_ms=now_ms,
                 )
 
-    def _matches_last_sent(self, counted: _QuotaUsage, remaining: Remaining, now_ms: int) -> bool:
-        off = abs(remaining.content - counted.last_sent.at(now_ms))
-        asked_off = abs(remaining.asked_per_s - counted.last_sent_demand_per_s)
-        most_asked_off = DEMAND_UPDATE_THRESHOLD_SHARE * max(
-            counted.last_sent_demand_per_s, counted.quota.per_s
+    def _matches_last_sent(self, usage: _QuotaUsage, remaining: Remaining, now_ms: int) -> bool:
+        content_error = abs(remaining.content - usage.last_sent.at(now_ms))
+        demand_error = abs(remaining.asked_per_s - usage.last_sent_demand_per_s)
+        max_demand_error = DEMAND_UPDATE_THRESHOLD_SHARE * max(
+            usage.last_sent_demand_per_s, usage.quota.per_s
         )
         return (
-            off <= UPDATE_THRESHOLD_SHARE * counted.last_sent.capacity
-            and asked_off <= most_asked_off
+            content_error <= UPDATE_THRESHOLD_SHARE * usage.last_sent.capacity
+            and demand_error <= max_demand_error
         )
 
-    def _remaining(self, name: str, counted: _QuotaUsage, now_ms: int) -> Remaining:
-        content = (counted.provisional or counted.bucket).at(now_ms)
-        return Remaining(name, content, counted.demand.at(now_ms))
+    def _remaining(self, name: str, usage: _QuotaUsage, now_ms: int) -> Remaining:
+        content = (usage.provisional or usage.bucket).at(now_ms)
+        return Remaining(name, content, usage.demand.at(now_ms))
--- a/packages/coordination/src/mimosaspur_coordination/quota/limiter.py
+++ b/packages/coordination/src/mimosaspur_coordination/quota/limiter.py
@@ -1,4 +1,4 @@
-"""Admit what a workspace's quota covers, at one of many entries."""
+"""Admit requests within their workspace's quota at one of many entries."""
 
 import random
 from collections.abc import Callable
@@ -16,17 +16,17 @@
 from mimosaspur_state.directsettings import QuotaBounds
 from mimosaspur_state.workspaces import Workspace
 
-# Nobody having told for so long, each entry keeps to a share of its own.
+# Without an update for this long, an entry falls back to its own share.
 MAX_UPDATE_AGE_MS = 1_000
-# Several entries may spend the same rest of a quota between two news. Where callers ask for more
-# than this part of what a quota may be passed by meanwhile, each entry keeps to its share.
+# Several entries may spend the same remainder between two updates. If the demand in that time
+# exceeds this share of the allowed overage, each entry stays within its share.
 MAX_UNREPORTED_SHARE = 0.4
-# An entry that isn't told any more may let one request of a workspace in ahead of its share, so
-# soon after the last news, or later with the chance that keeps all entries' such requests within
-# this part of what a quota may be passed by.
+# An entry without updates may admit one request beyond its share: within this time of the last
+# update, or later with a probability that keeps these requests of all entries within this share
+# of the allowed overage.
 OVERDRAFT_WINDOW_MS = 3_000
 OVERDRAFT_SHARE = 0.5
-# News is expected so often, until it has come some times.
+# The assumed interval of updates before it is measured.
 INITIAL_UPDATE_INTERVAL_MS = 200.0
 UPDATE_INTERVAL_WEIGHT = 0.1
 DISTANT_PAST_MS = -1_000_000_000
@@ -34,40 +34,40 @@
 
 
 class QuotaUnknown(Exception):
-    """Say that this process doesn't know what other entries have spent of a quota."""
+    """No coordinator has sent yet what other entries have spent of a quota."""
 
 
 @dataclass(slots=True, frozen=True)
 class QuotaState:
-    """Hold what decides whether a request is admitted."""
+    """Hold the inputs of an admission decision, for the log."""
 
-    # What this entry may spend now, and its part of the quota where each keeps to one.
+    # What this entry may spend now, and its share of the quota.
     left: int
     share: float
-    # What all entries are asked for, and what the quota allows.
+    # The demand at all entries, and what the quota allows.
     asked_per_s: int
     per_s: int
-    # None if the coordinator never told anything.
+    # None before the first update.
     news_age_ms: int | None
 
 
 class QuotaLimiter:
-    """Admit requests at one entry, by what the coordinator tells of all entries' spending.
+    """Admit requests at one entry by the coordinator's updates of all entries' spending.
 
-    While news is fresh, and little can be spent between two news, a request may take from all that
-    is left. Otherwise an entry keeps to the share that its callers ask for. A share may be less
-    than any one request: so a request goes in once a part of it is covered that is drawn anew for
-    each, and together the entries let in as much as their shares come to.
+    While updates are recent and little can be spent between two of them, a request may take from
+    all that is left. Otherwise an entry stays within its share by demand. A share may be smaller
+    than any request, so a request is admitted once a randomly drawn part of its cost is covered;
+    on average the entries together admit the sum of their shares.
     """
 
     __slots__ = (
         "accounts",
         "bounds",
-        "random",
         "clock",
         "entries",
-        "update_interval_ms",
         "last_update_ms",
+        "random",
+        "update_interval_ms",
     )
 
     def __init__(
@@ -82,21 +82,20 @@
         self.random = random_source
         self.accounts: dict[str, QuotaAccount] = {}
         self.entries = 1
-        # When the coordinator last told anything.
         self.last_update_ms = DISTANT_PAST_MS
-        # How often it does, at the mean.
+        # A moving average.
         self.update_interval_ms = INITIAL_UPDATE_INTERVAL_MS
 
     def configure(self, workspaces: Iterable[Workspace]) -> None:
-        """Take the quotas of a new configuration; what was spent stays spent."""
+        """Apply the quotas of a configuration; spending so far is kept."""
         now_ms = self.clock.now_ms()
-        old = self.accounts
+        previous = self.accounts
         self.accounts = {}
         for workspace in workspaces:
             quota = workspace.quota
             if quota is None:
                 continue
-            account = old.get(workspace.name)
+            account = previous.get(workspace.name)
             if account is None:
                 account = QuotaAccount(quota, self.bounds, now_ms)
             elif account.quota != quota:
@@ -108,9 +107,9 @@
             self.accounts[workspace.name] = account
 
     def admit(self, workspace: str, cost: float) -> int:
-        """Spend a request's cost; return 0, or in how many ms the quota will cover it.
+        """Spend a request's cost and return 0, or return the ms until the quota covers it.
 
-        Raise QuotaUnknown until a coordinator has told what is left.
+        Raise QuotaUnknown before the first update.
         """
         account = self.accounts.get(workspace)
         if account is None:
@@ -126,13 +125,13 @@
         return self._schedule_retry(account, cost, now_ms)
 
     def refund(self, workspace: str, cost: float) -> None:
-        """Return the cost of a request that has surely not run."""
+        """Return the cost of a request that has definitely not run."""
         account = self.accounts.get(workspace)
         if account:
             self._spend(account, -cost, self.clock.now_ms())
 
     def take_report(self, number: int) -> list[Spending]:
-        """Return what was spent and refused since the last report; keep it under a number."""
+        """Return what was spent and refused since the last report, which gets a number."""
         spendings = []
         for name, account in self.accounts.items():
             account.uncounted_reports.append((number, account.spent))
@@ -144,17 +143,17 @@
         return spendings
 
     def acknowledge(self, number: int) -> None:
-        """Take note that what is told next counts in a report."""
+        """Record that the next update includes the report with this number."""
         for account in self.accounts.values():
             while account.uncounted_reports and account.uncounted_reports[0][0] <= number:
                 account.counted_spent = account.uncounted_reports.popleft()[1]
 
     def apply_update(self, remaining: Iterable[Remaining], *, entries: int) -> None:
-        """Take the coordinator's news; what it doesn't name refills as it was expected to."""
+        """Apply the coordinator's update; quotas that it omits refill as expected."""
         now_ms = self.clock.now_ms()
         if now_ms - self.last_update_ms > MAX_UPDATE_AGE_MS:
-            for known in self.accounts.values():
-                known.fallback = None
+            for stale in self.accounts.values():
+                stale.fallback = None
         else:
             self.update_interval_ms += (
                 now_ms - self.last_update_ms - self.update_interval_ms
@@ -170,17 +169,17 @@
                 account.own_demand_per_s = account.demand.at(now_ms)
 
     def has_update(self) -> bool:
-        """Tell whether a coordinator ever told this entry anything."""
+        """Return whether this entry has ever received an update."""
         return self.last_update_ms != DISTANT_PAST_MS
 
     def on_coordinator_lost(self) -> None:
-        """Have the next coordinator hear all that the last one didn't count."""
+        """Report everything that the last coordinator didn't count to the next one."""
         for account in self.accounts.values():
             account.reported_spent = account.counted_spent
             account.uncounted_reports.clear()
 
     def state(self, workspace: str) -> QuotaState:
-        """Return what decides about the workspace's next request."""
+        """Return the inputs of the workspace's next admission decision, for the log."""
         account = self.accounts[workspace]
         now_ms = self.clock.now_ms()
         return QuotaState(
@@ -196,12 +195,12 @@
         left = self._available(account, now_ms)
         if left >= needed:
             return True
-        alone = account.fallback is not None
-        if alone and account.may_overdraw:
+        is_fallback = account.fallback is not None
+        if is_fallback and account.may_overdraw:
             account.may_overdraw = False
             return True
         if (
-            not alone and not self._may_overshoot(account, now_ms)
+            not is_fallback and not self._may_overshoot(account, now_ms)
         ) or left < needed * account.rounding_threshold:
             return False
         account.rounding_threshold = self.random()
@@ -217,13 +216,13 @@
         return content - account.uncounted_spent()
 
     def _may_overshoot(self, account: QuotaAccount, now_ms: int) -> bool:
-        """Tell whether too much could be spent before the entries hear of it."""
-        unheard_ms = max(self.update_interval_ms, now_ms - self.last_update_ms)
-        meanwhile = account.total_demand_per_s * unheard_ms / 1000
-        return meanwhile > MAX_UNREPORTED_SHARE * max_overage(account.quota, self.bounds)
+        """Return whether too much could be spent before the next update."""
+        unreported_ms = max(self.update_interval_ms, now_ms - self.last_update_ms)
+        unreported_demand = account.total_demand_per_s * unreported_ms / 1000
+        return unreported_demand > MAX_UNREPORTED_SHARE * max_overage(account.quota, self.bounds)
 
     def _fallback_bucket(self, account: QuotaAccount, now_ms: int) -> QuotaBucket:
-        """Return this entry's own share, which begins when nobody tells any more."""
+        """Return the bucket of this entry's own share, creating it when updates have stopped."""
         if account.fallback is None:
             share = account.share(self.entries)
             content = max(0.0, account.shared.at(now_ms)) * share - account.uncounted_spent()
@@ -238,7 +237,7 @@
         return account.fallback
 
     def _may_overdraw(self, account: QuotaAccount, now_ms: int) -> bool:
-        """Tell whether one request may go ahead of a share that is less than any one request."""
+        """Return whether one request may exceed a share that is smaller than any request."""
         if not self.has_update() or not account.is_below_quota(self.last_update_ms):
             return False
         if now_ms - self.last_update_ms <= OVERDRAFT_WINDOW_MS:
@@ -252,10 +251,10 @@
             account.fallback.take(cost, now_ms)
 
     def _schedule_retry(self, account: QuotaAccount, cost: float, now_ms: int) -> int:
-        """Return when a refused request may come back: after those that were refused before it."""
+        """Return the retry delay of a refused request, after those that were refused before it."""
         while account.scheduled_retries and account.scheduled_retries[0][0] <= now_ms:
             account.scheduled_retries.popleft()
-        ahead = sum(promised for _, promised in account.scheduled_retries)
+        ahead = sum(retry_cost for _, retry_cost in account.scheduled_retries)
         per_s = account.shared.per_s * account.share(self.entries)
         missing = max(0.0, cost - self._available(account, now_ms))
         wait_ms = max(1.0, (missing + ahead) * 1000 / per_s)
--- a/packages/coordination/src/mimosaspur_coordination/quota/spending.py
+++ b/packages/coordination/src/mimosaspur_coordination/quota/spending.py
@@ -1,11 +1,11 @@
-"""Say what entries tell the coordinator of quotas, and what it tells them."""
+"""Define the quota data exchanged between entries and the coordinator."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class Spending:
-    """Hold what one entry spent of a workspace's quota since its last report, and refused."""
+    """Hold what one entry spent and refused of a workspace's quota since its last report."""
 
     workspace: str
     spent: float
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Remaining:
-    """Hold what is left of a workspace's quota over all entries, and what a second asks of it."""
+    """Hold what is left of a workspace's quota over all entries, and the demand per second."""
 
     workspace: str
     content: float
--- a/packages/coordination/src/mimosaspur_coordination/residentindex.py
+++ b/packages/coordination/src/mimosaspur_coordination/residentindex.py
@@ -1,12 +1,12 @@
-"""Index which targets said that they hold a version of a name."""
+"""Index targets by the names of their residents, regardless of version."""
 
 import threading
 
 
 class ResidentIndex:
-    """Find targets by the names of what they hold; a superset, as what was said may have changed.
+    """Find targets by resident name; thread-safe.
 
-    It is safe from any thread.
+    The result may contain targets that no longer hold the name.
     """
 
     def __init__(self) -> None:
@@ -15,7 +15,7 @@
         self.lock = threading.Lock()
 
     def update(self, target: str, residents: frozenset[str]) -> None:
-        """Take in all that a target holds now."""
+        """Replace the residents of a target."""
         names = frozenset(resident_name(resident) for resident in residents)
         with self.lock:
             before = self.names_by_target.get(target, frozenset())
@@ -26,13 +26,13 @@
             self.names_by_target[target] = names
 
     def remove(self, target: str) -> None:
-        """Drop a target that is known no more."""
+        """Remove a target."""
         with self.lock:
             for name in self.names_by_target.pop(target, frozenset()):
                 self._discard(name, target)
 
     def targets_holding(self, name: str) -> set[str]:
-        """Return the targets that said to hold a version of a name."""
+        """Return the targets that reported any version of a name."""
         with self.lock:
             return set(self.targets_by_name.get(name, ()))
 
@@ -44,5 +44,5 @@
 
 
 def resident_name(resident: str) -> str:
-    """Return the name of a resident without its version."""
+    """Return a resident's name without its version."""
     return resident.rpartition("@")[0]
--- a/packages/coordination/src/mimosaspur_coordination/retrybudget.py
+++ b/packages/coordination/src/mimosaspur_coordination/retrybudget.py
@@ -1,10 +1,10 @@
-"""Bound what the system itself sends again."""
+"""Limit the retries that the system makes on its own."""
 
 import threading
 
 
 class RetryBudget:
-    """Allow retries in proportion to requests, up to a burst."""
+    """Allow retries as a ratio of the requests, up to a burst."""
 
     __slots__ = ("burst", "lock", "ratio", "tokens")
 
@@ -15,12 +15,12 @@
         self.lock = threading.Lock()
 
     def record_request(self) -> None:
-        """Count a caller's request."""
+        """Add a request's share of a retry to the budget."""
         with self.lock:
             self.tokens = min(self.burst, self.tokens + self.ratio)
 
     def try_spend(self) -> bool:
-        """Take one retry if the budget has it."""
+        """Take one retry from the budget; return whether there was one."""
         with self.lock:
             if self.tokens < 1:
                 return False
--- a/packages/coordination/src/mimosaspur_coordination/routing.py
+++ b/packages/coordination/src/mimosaspur_coordination/routing.py
@@ -1,4 +1,4 @@
-"""Choose the target that a request is sent to."""
+"""Choose the target of a request."""
 
 import random
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Candidate:
-    """Name a target that may serve a request and what it would serve it with."""
+    """Pair a target that may serve a request with the resident it would use."""
 
     hint: TargetHint
     resident: str
@@ -27,7 +27,7 @@
     record: PlacementRecord | None,
     hints: dict[str, TargetHint],
 ) -> list[Candidate]:
-    """Return who may hold it: those with the wanted version, or else with the newest older one."""
+    """Return the targets with the wanted version, or else those with the newest older one."""
     wanted = served.resident()
     current: list[Candidate] = []
     older: list[Candidate] = []
@@ -45,18 +45,18 @@
     if wanted in hint.residents:
         return wanted
     placed = _placed_residents(served, record, hint.name)
-    # What a connected target says goes before the record; what it said earlier may be older.
+    # The state of a connected target takes precedence over the record; older state doesn't.
     if wanted in placed and not (hint.residents and hint.is_connected):
         return wanted
     prefix = wanted.rpartition("@")[0] + "@"
-    said = [name for name in hint.residents if name.startswith(prefix)]
+    reported = [name for name in hint.residents if name.startswith(prefix)]
     if hint.residents:
-        return max(said, key=lambda name: _version_order(name, placed), default=None)
+        return max(reported, key=lambda name: _version_order(name, placed), default=None)
     return placed[-1] if placed else None
 
 
 def _newest_only(older: list[Candidate], placed: list[str]) -> list[Candidate]:
-    # Two old versions may both be ready when rolls follow each other closely.
+    # Two older versions may both be ready when rollouts overlap.
     rank = max((_version_order(candidate.resident, placed) for candidate in older), default=0)
     return [candidate for candidate in older if _version_order(candidate.resident, placed) == rank]
 
@@ -68,9 +68,9 @@
 def _placed_residents(
     served: Served, record: PlacementRecord | None, target: str = ""
 ) -> list[str]:
-    """Return the residents by a record, of one target or all, the newest last.
+    """Return the residents in a record, of one target or of all, newest last.
 
-    A replica that becomes ready is put last in its record, and one that leaves is replaced.
+    The order of the record is used: a replica that becomes ready is appended to it.
     """
     ready: dict[str, None] = {}
     leaving: dict[str, None] = {}
@@ -84,12 +84,12 @@
 def _resident(served: Served, version: str) -> str | None:
     if version == served.model.version:
         return served.resident()
-    # A record tells nothing of the versions of a model's adapters.
+    # A model's record does not contain the versions of its adapters.
     return None if served.adapter else f"{served.model.name}@{version}"
 
 
 class Router:
-    """Compare two random candidates by load, with a bonus for a cached prefix."""
+    """Choose the less loaded of two random candidates, with a bonus for a cached prefix."""
 
     __slots__ = ("failure_domain", "naive", "random")
 
@@ -103,33 +103,35 @@
     def choose(
         self, candidates: list[Candidate], *, tried: set[str], prefix: str, now_ms: int
     ) -> Candidate | None:
-        """Return the target to try next, or None when none is left."""
-        left = [
+        """Return the next target to try, or None if all were tried."""
+        remaining = [
             candidate
             for candidate in candidates
             if candidate.hint.name not in tried and not candidate.hint.draining
         ]
-        reachable = [candidate for candidate in left if candidate.hint.is_reachable(now_ms)]
-        left = reachable or left
-        # The instance list lags, so "leaving" only matters where there is a choice.
-        staying = [candidate for candidate in left if not candidate.hint.leaving]
-        left = staying or left
-        if not left:
+        reachable = [candidate for candidate in remaining if candidate.hint.is_reachable(now_ms)]
+        remaining = reachable or remaining
+        # The instance list lags, so leaving targets are avoided but not excluded.
+        staying = [candidate for candidate in remaining if not candidate.hint.leaving]
+        remaining = staying or remaining
+        if not remaining:
             return None
         if self.naive:
-            return self.random.choice(left)
-        return self._least_loaded(left, prefix)
-
-    def _least_loaded(self, left: list[Candidate], prefix: str) -> Candidate:
-        pair = self.random.sample(left, min(2, len(left)))
-        home = max(left, key=lambda candidate: _rendezvous_weight(prefix, candidate.hint.name))
-        if prefix and home not in pair:
-            pair.append(home)
-        return min(pair, key=lambda candidate: self._cost(candidate, home, prefix))
-
-    def _cost(self, candidate: Candidate, home: Candidate, prefix: str) -> float:
+            return self.random.choice(remaining)
+        return self._least_loaded(remaining, prefix)
+
+    def _least_loaded(self, remaining: list[Candidate], prefix: str) -> Candidate:
+        pair = self.random.sample(remaining, min(2, len(remaining)))
+        preferred = max(
+            remaining, key=lambda candidate: _rendezvous_weight(prefix, candidate.hint.name)
+        )
+        if prefix and preferred not in pair:
+            pair.append(preferred)
+        return min(pair, key=lambda candidate: self._cost(candidate, preferred, prefix))
+
+    def _cost(self, candidate: Candidate, preferred: Candidate, prefix: str) -> float:
         cost = candidate.hint.estimated_load()
-        if prefix and candidate is home:
+        if prefix and candidate is preferred:
             cost -= PREFIX_BONUS
         if candidate.hint.failure_domain == self.failure_domain:
             cost -= DOMAIN_BONUS
@@ -137,5 +139,5 @@
 
 
 def _rendezvous_weight(prefix: str, target: str) -> int:
-    """Rank targets for a prefix by rendezvous hashing, the same at every entry."""
+    """Return a target's rendezvous hash weight for a prefix, the same at every entry."""
     return xxhash.xxh64_intdigest(f"{prefix}\0{target}".encode())
--- a/packages/coordination/src/mimosaspur_coordination/targetdirectory.py
+++ b/packages/coordination/src/mimosaspur_coordination/targetdirectory.py
@@ -1,4 +1,4 @@
-"""Know the region's targets and which of them hold what."""
+"""Find the targets of the region that can serve a model or service."""
 
 import itertools
 import threading
@@ -24,7 +24,7 @@
 
 
 class TargetDirectory:
-    """Join the instance list, the placement records and what targets say themselves."""
+    """Combine the instance list, the placement records and the targets' own reports."""
 
     def __init__(self, mirror: Mirror, *, region: str) -> None:
         self.mirror = mirror
@@ -38,10 +38,10 @@
         self.lock = threading.Lock()
 
     def update(self, instances: list[Instance]) -> list[TargetHint]:
-        """Take in a reading of the instance list; return the hints that are new.
+        """Apply the instance list; return the new hints.
 
-        An instance that has gone from the list keeps its hint while it is in use: the list
-        lags and may miss one that lives.
+        A target missing from the list keeps its hint while in use, because the list lags and may
+        omit a live target.
         """
         new: list[TargetHint] = []
         with self.lock:
@@ -59,20 +59,20 @@
         return new
 
     def on_drain_change(self, item: StoredObject) -> None:
-        """Take in a change of an operator's order to leave, long before the list shows it."""
+        """Apply a change of an operator's drain order, which the list shows only later."""
         if item.key.startswith(keys.DRAINS):
             with self.lock:
                 self._mark_leaving()
 
     def on_placement_change(self, item: StoredObject) -> bool:
-        """Take in a record's change; tell whether it names a target that is new to us."""
-        ours = (keys.placements(self.region), keys.carriers(self.region))
-        if item.value is None or not item.key.startswith(ours):
+        """Apply a changed placement record; return whether it names an unlisted target."""
+        prefixes = (keys.placements(self.region), keys.carriers(self.region))
+        if item.value is None or not item.key.startswith(prefixes):
             return False
         try:
             record = placement_from_value(item.value)
         except msgspec.ValidationError:
-            # The mirror must go on; who needs this record is told.
+            # The mirror must not stop here; reading this record reports the error.
             return False
         with self.lock:
             new = {it.target for it in record.replicas} - self.hints.keys() - self.unlisted
@@ -80,24 +80,26 @@
         return bool(new)
 
     def unresolved_targets(self) -> frozenset[str]:
-        """Return the targets that the instance list may tell more of: unknown and lost ones."""
-        lost = {name for name, hint in self.hints.items() if hint.disconnected_at_ms is not None}
+        """Return the unlisted and disconnected targets, which a read of the list may resolve."""
+        disconnected = {
+            name for name, hint in self.hints.items() if hint.disconnected_at_ms is not None
+        }
         with self.lock:
-            return frozenset(lost | self.unlisted)
+            return frozenset(disconnected | self.unlisted)
 
     def stop_resolving(self, names: Iterable[str]) -> None:
-        """Seek targets no more until a record names them again."""
+        """Drop unlisted targets until a record names them again."""
         with self.lock:
             self.unlisted.difference_update(names)
 
     def for_model(self, served: Served) -> list[Candidate]:
-        """Return the targets that may hold a served model or adapter."""
+        """Return the candidate targets for a model or adapter."""
         record = self.record(keys.placement(self.region, served.model.name))
         placed = {replica.target for replica in record.replicas} if record else set()
         return candidates_for(served, record, self._hints_for(placed, served.resident()))
 
     def for_service(self, name: str) -> list[Candidate]:
-        """Return the targets that carry a plain service."""
+        """Return the candidate targets for a plain service."""
         record = self.record(keys.carrier(self.region, name))
         carrying = {replica.target for replica in record.ready()} if record else set()
         resident = service_resident(name)
@@ -108,11 +110,11 @@
         ]
 
     def record(self, key: str) -> PlacementRecord | None:
-        """Return the local copy of a placement record."""
+        """Return the mirrored copy of a placement record."""
         return self.records.get(key)
 
     def _hints_for(self, named: set[str], resident: str) -> dict[str, TargetHint]:
-        """Return the hints of named targets and of holders of any version, in the list's order."""
+        """Return the hints of the named targets and of those holding any version, in order."""
         hints = self.hints
         names = named | self.resident_index.targets_holding(resident_name(resident))
         found = sorted(
@@ -120,12 +122,12 @@
         )
         return {hint.name: hint for hint in found}
 
-    def _new_hint(self, instance: Instance, former: TargetHint | None) -> TargetHint:
+    def _new_hint(self, instance: Instance, previous: TargetHint | None) -> TargetHint:
         hint = TargetHint(
             instance.name,
             instance.address,
             instance.failure_domain,
-            order=former.order if former else next(self.order_counter),
+            order=previous.order if previous else next(self.order_counter),
             on_residents_changed=self._on_residents_changed,
         )
         self.resident_index.remove(instance.name)
@@ -142,7 +144,7 @@
 
     def _on_residents_changed(self, hint: TargetHint) -> None:
         with self.lock:
-            # A connection to a former address may still end its last message.
+            # A connection to a previous address may still deliver a message.
             if self.hints.get(hint.name) is hint:
                 self.resident_index.update(hint.name, hint.residents)
 
@@ -153,5 +155,5 @@
 
 
 def service_resident(name: str) -> str:
-    """Return how a target names a plain service among its residents."""
+    """Return the resident name of a plain service."""
     return f"{name}@service"
--- a/packages/coordination/src/mimosaspur_coordination/targethealth.py
+++ b/packages/coordination/src/mimosaspur_coordination/targethealth.py
@@ -1,22 +1,22 @@
-"""Judge a target by what becomes of the requests that were sent to it."""
+"""Track the health of a target from the outcomes of its requests."""
 
 from mimosaspur_state.clock import Clock
 
-# Weight of the newest outcome in the failing share.
+# Weight of the newest outcome in the moving average.
 OUTCOME_WEIGHT = 0.25
-# Without new outcomes the failing share halves in this time, so that the target is tried again.
+# The failure share decays without new outcomes, so that the target is tried again.
 FAILURE_HALF_LIFE_MS = 2_500
-# A target that fails more than this share is avoided while others are better.
+# Targets above this share are avoided.
 MAX_FAILURE_SHARE = 0.45
-# After a connection could not be opened, the target rests; twice as long each time.
+# Cooldown after a connection could not be opened; it doubles with each failure.
 INITIAL_COOLDOWN_MS = 400
 MAX_COOLDOWN_MS = 3_000
 
 
 class TargetHealth:
-    """Keep the failing share of late outcomes, and rest a target that can't be reached."""
+    """Track the moving share of failed requests and the cooldown of an unreachable target."""
 
-    __slots__ = ("clock", "last_failure_share", "cooldown_ms", "cooldown_until_ms", "updated_ms")
+    __slots__ = ("clock", "cooldown_ms", "cooldown_until_ms", "last_failure_share", "updated_ms")
 
     def __init__(self, *, clock: Clock) -> None:
         self.clock = clock
@@ -26,31 +26,31 @@
         self.cooldown_until_ms = 0
 
     def record_success(self) -> None:
-        """Count a request that went well."""
+        """Record a successful request."""
         self._record(0.0)
         self.cooldown_ms = 0
 
     def record_failure(self) -> None:
-        """Count a request that the target failed."""
+        """Record a request that failed at the target."""
         self._record(1.0)
 
     def record_unreachable(self) -> None:
-        """Rest the target after a connection could not be opened."""
+        """Record that a connection could not be opened and extend the cooldown."""
         self._record(1.0)
         self.cooldown_ms = min(MAX_COOLDOWN_MS, max(INITIAL_COOLDOWN_MS, self.cooldown_ms * 2))
         self.cooldown_until_ms = self.clock.now_ms() + self.cooldown_ms
 
     def failure_share(self) -> float:
-        """Return the share of late requests that failed, fading with time."""
+        """Return the moving share of failed requests, decayed over time."""
         age_ms = self.clock.now_ms() - self.updated_ms
         return float(self.last_failure_share * 0.5 ** (age_ms / FAILURE_HALF_LIFE_MS))
 
     def is_cooling_down(self) -> bool:
-        """Tell whether a connection couldn't be opened a short while ago."""
+        """Return whether the target is in its cooldown."""
         return self.clock.now_ms() < self.cooldown_until_ms
 
     def is_avoided(self) -> bool:
-        """Tell whether others are to be preferred."""
+        """Return whether other targets should be preferred."""
         return self.is_cooling_down() or self.failure_share() > MAX_FAILURE_SHARE
 
     def _record(self, outcome: float) -> None:
--- a/packages/coordination/src/mimosaspur_coordination/workspaces/__init__.py
+++ b/packages/coordination/src/mimosaspur_coordination/workspaces/__init__.py
@@ -1,1 +1,1 @@
-"""Find out on whose behalf a request comes; for entries that reach targets by themselves."""
+"""Authenticate requests to workspaces at entries that reach targets directly."""
--- a/packages/coordination/src/mimosaspur_coordination/workspaces/credentials.py
+++ b/packages/coordination/src/mimosaspur_coordination/workspaces/credentials.py
@@ -1,4 +1,4 @@
-"""Read a caller's credential and find the workspace that holds it."""
+"""Parse a caller's credential and find its workspace."""
 
 import hashlib
 import hmac
@@ -13,25 +13,24 @@
 
 
 def credential_digest(key: bytes) -> bytes:
-    """Return what is kept, compared and told of an API key in its place."""
+    """Return the digest that is stored, compared and sent instead of an API key."""
     return hashlib.sha256(key).digest()
 
 
 def read_bearer(values: Sequence[bytes]) -> bytes | None:
-    """Return the digest of the only bearer token in these headers' values, None without one.
+    """Return the digest of the only bearer token in these header values, None without one.
 
-    Two credentials are none: whoever reads the other one of them would take the caller for
-    somebody else.
+    Several values are rejected, because another component may use a different one of them.
     """
     if len(values) != 1:
         return None
-    found = _BEARER.fullmatch(values[0])
-    return credential_digest(found[1]) if found else None
+    match = _BEARER.fullmatch(values[0])
+    return credential_digest(match[1]) if match else None
 
 
 def find_workspace(configuration: Configuration, digest: bytes | None) -> Workspace | None:
-    """Return the workspace that holds a credential now."""
+    """Return the workspace with this credential in the configuration."""
     if digest is None:
         return None
-    known, workspace = configuration.by_credential.get(digest, (b"", None))
-    return workspace if hmac.compare_digest(known, digest) else None
+    stored, workspace = configuration.by_credential.get(digest, (b"", None))
+    return workspace if hmac.compare_digest(stored, digest) else None
