--- a/features/harness/direct_workspaces.py
+++ b/features/harness/direct_workspaces.py
@@ -30,7 +30,7 @@
     """Return a configuration with these workspaces."""
     base = configuration()
     routes = tuple(replace(route, public=public) for route in base.routes)
-    workspaces = tuple(workspace(name, held) for name, held in keys.items())
+    workspaces = tuple(workspace(name, credentials) for name, credentials in keys.items())
     return replace(base, version=version, routes=routes, workspaces=workspaces)
 
 
@@ -40,11 +40,11 @@
     def __init__(self, *, public: bool = False, quota: Quota | None = None) -> None:
         super().__init__()
         self.target = ScriptedTarget("first")
-        newest = with_workspaces(KEYS, version=2, public=public)
+        current = with_workspaces(KEYS, version=2, public=public)
         if quota:
-            limited = tuple(replace(each, quota=quota) for each in newest.workspaces or ())
-            newest = replace(newest, workspaces=limited)
-        self.state.adopt(newest, source="test")
+            limited = tuple(replace(each, quota=quota) for each in current.workspaces or ())
+            current = replace(current, workspaces=limited)
+        self.state.adopt(current, source="test")
         self.confirm(age_ms=0)
 
     def confirm(self, *, age_ms: int) -> None:
--- a/features/steps/direct_bounds_steps.py
+++ b/features/steps/direct_bounds_steps.py
@@ -122,10 +122,10 @@
 
 @given("an event log that nobody reads")
 def make_log(context: Context) -> None:
-    reading, writing = os.pipe()
-    context.add_cleanup(os.close, reading)
-    context.add_cleanup(os.close, writing)
-    context.log = EventLog("entry-0", clock=HeldClock(500), fd=writing)
+    read_end, write_end = os.pipe()
+    context.add_cleanup(os.close, read_end)
+    context.add_cleanup(os.close, write_end)
+    context.log = EventLog("entry-0", clock=HeldClock(500), fd=write_end)
 
 
 @when("{count:d} events are written within a second")
@@ -149,7 +149,7 @@
     return b"".join(b"id: %d\ndata: x\n\n" % number for number in range(first, last + 1))
 
 
-@given("the events 1 to {had:d} of a stream were relayed")
+@given("the events 1 to {last:d} of a stream were relayed")
 def relay_first(context: Context, last: int) -> None:
     context.cutter = EventCutter(None)
     context.relayed = context.cutter.feed(_events(1, last))
--- a/features/steps/direct_quotas_steps.py
+++ b/features/steps/direct_quotas_steps.py
@@ -42,12 +42,12 @@
 
 
 @given("quotas that {count:d} entries hold by {way}, {seeds:d} seeds")
-def set_way(context: Context, count: int, way: str, seeds: int) -> None:
+def set_algorithm(context: Context, count: int, way: str, seeds: int) -> None:
     context.way, context.count, context.seeds = ALGORITHMS[way], count, range(seeds)
 
 
 @when("callers come, with {trouble}")
-def come(context: Context, trouble: str) -> None:
+def simulate_callers(context: Context, trouble: str) -> None:
     context.outcomes = [
         play(context.way, trouble, entries=context.count, seed=seed) for seed in context.seeds
     ]
@@ -86,14 +86,14 @@
 
 
 @given("no coordinator has told it what is left")
-def forget_told(context: Context) -> None:
+def reset_quotas(context: Context) -> None:
     state = context.entry.state
     state.quotas = QuotaLimiter(TIGHT, clock=state.clock)
     state.quotas.configure(state.configuration.workspaces)
 
 
 @then("they are refused with {status:d} and code {code:d}, and told to come back within {ms:d} ms")
-def check_sent_elsewhere(context: Context, status: int, code: int, ms: int) -> None:
+def check_refused_elsewhere(context: Context, status: int, code: int, ms: int) -> None:
     for answer in context.answers:
         assert answer.status == status, answer
         assert answer.body.startswith(f"{code} ".encode()), answer
@@ -101,7 +101,7 @@
     assert not context.entry.target.seen
 
 
-async def _ask(context: Context, key: str, request: str) -> Received:
+async def _send(context: Context, key: str, request: str) -> Received:
     reader, writer = await context.entry.connect()
     writer.write(request_bytes(KINDS[request][0], {"Authorization": f"Bearer {key}"}))
     try:
@@ -113,14 +113,14 @@
 @when("callers of one workspace send {request} {times:d} times, one after the other")
 def send_times(context: Context, request: str, times: int) -> None:
     async def send() -> list[Received]:
-        return [await _ask(context, "n-1", request) for _ in range(times)]
+        return [await _send(context, "n-1", request) for _ in range(times)]
 
     context.answers = run(context, send())
 
 
 @when("a caller of the other workspace sends {request}")
 def send_other(context: Context, request: str) -> None:
-    context.other = run(context, _ask(context, "s-1", request))
+    context.other = run(context, _send(context, "s-1", request))
 
 
 @then("the second caller is refused with code {code:d}")
@@ -150,7 +150,7 @@
 
 
 @then("any play of entries that are cut off, killed and told late keeps every window within bounds")
-def check_any_play(context: Context) -> None:
+def check_any_simulation(context: Context) -> None:
     trouble = strategies.builds(
         Trouble,
         kind=strategies.sampled_from(
@@ -212,19 +212,19 @@
 
 
 @given("an entry that was told of {told} entries, and begins to coordinate")
-def begin_to_coordinate(context: Context, told: str) -> None:
+def start_coordinating(context: Context, told: str) -> None:
     context.clock = HandClock()
     state = EntryState(settings_for("entry-0"), outside("entry-0", clock=context.clock))
-    newest = with_workspaces(KEYS)
-    limited = tuple(replace(each, quota=ONE_REQUEST) for each in newest.workspaces or ())
-    state.adopt(replace(newest, workspaces=limited), source="test")
+    configuration = with_workspaces(KEYS)
+    limited = tuple(replace(each, quota=ONE_REQUEST) for each in configuration.workspaces or ())
+    state.adopt(replace(configuration, workspaces=limited), source="test")
     if told != "no":
         state.quotas.apply_update([], entries=int(told))
     context.teller = QuotaTeller(state)
 
 
 @when("{count:d} entries follow it for {seconds:d} s")
-def follow(context: Context, count: int, seconds: int) -> None:
+def report_to_coordinator(context: Context, count: int, seconds: int) -> None:
     for _ in range(seconds * 10):
         for number in range(count):
             report = EntryReport(f"entry-{number}", 1, [], [], [], [])
--- a/features/steps/direct_repeats_steps.py
+++ b/features/steps/direct_repeats_steps.py
@@ -19,8 +19,8 @@
 from mimosaspur_state.directsettings import RetryBounds
 
 SERVICE = "service"
-SPENT_WITHIN_S = 20.0
-TROUBLE_S = 4.0
+SPEND_TIMEOUT_S = 20.0
+FAULT_DURATION_S = 4.0
 SPEND_INTERVAL_S = 0.02
 MAX_EXAMPLES = 150
 MAX_STEPS = 160
@@ -64,21 +64,21 @@
 
 
 @when("all of them repeat as often as they may, and {trouble}")
-def repeat(context: Context, trouble: str) -> None:
-    async def play() -> None:
+def spend_repeats(context: Context, trouble: str) -> None:
+    async def simulation() -> None:
         site = context.site
         spenders = context.spenders = _RetrySpender(site)
-        spending = asyncio.create_task(spenders.run())
-        await site.until(lambda: len(spenders.spent) == site.count, SPENT_WITHIN_S)
-        troubling = asyncio.create_task(_trouble(site, trouble))
-        await asyncio.sleep(TROUBLE_S)
-        troubling.cancel()
-        spending.cancel()
+        spend_task = asyncio.create_task(spenders.run())
+        await site.until(lambda: len(spenders.spent) == site.count, SPEND_TIMEOUT_S)
+        fault_task = asyncio.create_task(_inject_fault(site, trouble))
+        await asyncio.sleep(FAULT_DURATION_S)
+        fault_task.cancel()
+        spend_task.cancel()
 
-    run(context, play())
+    run(context, simulation())
 
 
-async def _trouble(site: Site, trouble: str) -> None:
+async def _inject_fault(site: Site, trouble: str) -> None:
     if trouble.endswith("are cut off"):
         site.cut_off(range(1, 3) if trouble.startswith("two followers") else range(3))
     if not trouble.endswith(" ms"):
@@ -98,14 +98,14 @@
 
 
 @then("{window_ms:d} ms have at least {least:d} repeats")
-def check_least(context: Context, window_ms: int, least: int) -> None:
+def check_min_repeats(context: Context, window_ms: int, least: int) -> None:
     assert context.spenders.max_in_window(window_ms / 1000) >= least
 
 
 @then(
     "in any play of {count:d} entries at most {most:d} of {slack:d} repeats are spent in any window"
 )
-def check_plays(context: Context, count: int, most: int, slack: int) -> None:
+def check_any_simulation(context: Context, count: int, most: int, slack: int) -> None:
     step = strategies.tuples(
         strategies.integers(0, count - 1),
         # Mostly idle steps, so that shares become active and are used.
@@ -116,19 +116,19 @@
     @settings(max_examples=MAX_EXAMPLES, derandomize=True, database=None, deadline=None)
     @given_any(strategies.lists(step, min_size=MAX_STEPS // 2, max_size=MAX_STEPS))
     def check(events: list[tuple[int, Event]]) -> None:
-        play = ShareSimulation(count, slack)
-        play.step(0, Event.TAKE_LEASE)
+        simulation = ShareSimulation(count, slack)
+        simulation.step(0, Event.TAKE_LEASE)
         for who, event in events:
-            play.step(who, event)
-        spent.append(len(play.spent))
-        assert play.max_in_window() <= most, play.max_in_window()
+            simulation.step(who, event)
+        spent.append(len(simulation.spent))
+        assert simulation.max_in_window() <= most, simulation.max_in_window()
 
     check()
     assert max(spent) > most, "no play spent anything"
 
 
 @given("an entry that was told of its part for {seconds:d} s")
-def hold_part(context: Context, seconds: int) -> None:
+def hold_share(context: Context, seconds: int) -> None:
     context.clock = HeldClock(1_000)
     context.lease = ShareLease(window_ms=WINDOW_MS, clock=context.clock)
     _renew(context, seconds * 1_000)
@@ -142,28 +142,28 @@
 
 
 @when("its process starts again and is told for {ms:d} ms")
-def start_again(context: Context, ms: int) -> None:
+def restart_process(context: Context, ms: int) -> None:
     context.lease = ShareLease(window_ms=WINDOW_MS, clock=context.clock)
     _renew(context, ms)
 
 
 @when("it is told nothing for {ms:d} ms")
 @when("the machine is suspended for {ms:d} ms")
-def tell_nothing(context: Context, ms: int) -> None:
+def skip_renewals(context: Context, ms: int) -> None:
     context.clock.ms += ms
 
 
 @when("it is told nothing for {ms:d} ms, and then again")
-def tell_again(context: Context, ms: int) -> None:
+def renew_after_pause(context: Context, ms: int) -> None:
     context.clock.ms += ms
     context.lease.renew(SHARERS)
 
 
 @when("a new coordinator tells of no part")
-def tell_none(context: Context) -> None:
+def renew_without_share(context: Context) -> None:
     context.lease.renew(0)
 
 
 @then("its part of the constant is {part:g}")
-def check_part(context: Context, part: float) -> None:
+def check_share(context: Context, part: float) -> None:
     assert context.lease.share() == part, context.lease.share()
--- a/features/steps/direct_workspaces_steps.py
+++ b/features/steps/direct_workspaces_steps.py
@@ -158,10 +158,10 @@
 
 @when("a version comes in force in which {change}")
 def change_version(context: Context, change: str) -> None:
-    newest = with_workspaces(CHANGES.get(change, {}), version=3)
+    changed = with_workspaces(CHANGES.get(change, {}), version=3)
     if change == "there are no workspaces":
-        newest = replace(newest, workspaces=None)
-    assert context.entry.state.adopt(newest, source="test")
+        changed = replace(changed, workspaces=None)
+    assert context.entry.state.adopt(changed, source="test")
 
 
 @when("the caller sends a request with the key n-1 on the same connection")
@@ -204,8 +204,8 @@
 @then("no key stands in the entry's log, metrics, stacks or messages to other entries")
 def check_no_key(context: Context) -> None:
     state = context.entry.state
-    reading, writing = os.pipe()
-    log = EventLog("entry-0", fd=writing)
+    read_end, write_end = os.pipe()
+    log = EventLog("entry-0", fd=write_end)
     log.counters = state.log.counters
     state.log = log
 
@@ -216,7 +216,7 @@
         log.always("stacks", **task_stacks())
 
     run(context, ask_all())
-    logged = os.read(reading, 1_000_000)
+    logged = os.read(read_end, 1_000_000)
     told = encode_peer(entry_report(state)) + encode_peer(encode_configuration(state.configuration))
     shown = repr(state.configuration) + log.counters.text() + json.dumps(logged.decode())
     for keys in (*KEYS.values(), (UNKNOWN_KEY,)):
--- a/packages/coordination/src/mimosaspur_coordination/backoff.py
+++ b/packages/coordination/src/mimosaspur_coordination/backoff.py
@@ -1,4 +1,4 @@
-"""Delay calls to a failing dependency exponentially, so that retries don't overload it."""
+"""Delay calls to a failing dependency exponentially, so that many processes don't overload it."""
 
 import random
 
--- a/packages/coordination/src/mimosaspur_coordination/routing.py
+++ b/packages/coordination/src/mimosaspur_coordination/routing.py
@@ -10,6 +10,7 @@
 from mimosaspur_state.placement import PlacementRecord
 from mimosaspur_state.placement import ReplicaState
 
+# Bonuses in requests per slot.
 PREFIX_BONUS = 0.5
 DOMAIN_BONUS = 0.05
 
@@ -70,7 +71,8 @@
 ) -> list[str]:
     """Return the residents in a record, of one target or of all, newest last.
 
-    The order of the record is used: a replica that becomes ready is appended to it.
+    Leaving replicas come first. Otherwise the record's order is used, as a replica is appended to
+    it when it becomes ready.
     """
     ready: dict[str, None] = {}
     leaving: dict[str, None] = {}
