--- a/features/harness/direct_site.py
+++ b/features/harness/direct_site.py
@@ -128,7 +128,9 @@
             if not number:
                 await self.until(lambda: self.entries[0].state.coordinating)
         followers = self.entries[1:]
-        await self.until(lambda: all(each.state.freshness.told_lately() for each in followers))
+        await self.until(
+            lambda: all(each.state.freshness.coordinator_is_fresh() for each in followers)
+        )
 
     async def until(self, condition: Any, within_s: float = SETTLED_WITHIN_S) -> None:
         """Wait for a condition; raise TimeoutError."""
--- a/features/harness/direct_world.py
+++ b/features/harness/direct_world.py
@@ -8,7 +8,7 @@
 import h11
 
 from harness.direct_target import ScriptedTarget
-from harness.parts import held_part
+from harness.share_leases import held_share
 from mimosaspur_coordination.fleetports import ConfigurationChange
 from mimosaspur_coordination.fleetports import LeaseRecord
 from mimosaspur_coordination.fleetports import StoppedRun
@@ -192,7 +192,7 @@
     def __init__(self, *, engine: EngineSpec | None = None) -> None:
         settings = settings_for("entry-0")
         self.state = EntryState(settings, outside("entry-0"))
-        self.state.retry_part = held_part(
+        self.state.retry_part = held_share(
             settings.retries.window_ms, sharers=SHARERS, clock=SystemClock()
         )
         self.state.configuration = configuration(engine)
--- a/features/harness/reports_play.py
+++ b/features/harness/report_simulation.py
@@ -7,7 +7,7 @@
 from harness.direct_world import outside
 from harness.direct_world import quiet_log
 from harness.direct_world import settings_for
-from mimosaspur_coordination.limits.partlease import SharerCount
+from mimosaspur_coordination.limits.sharelease import SharerCount
 from mimosaspur_coordination.orderlease import OrderLease
 from mimosaspur_daemon.direct.entrystate import EntryState
 from mimosaspur_daemon.direct.fleetreport import total_work
@@ -20,21 +20,21 @@
 from mimosaspur_state.clock import SystemClock
 from mimosaspur_state.fleet import Work
 
-TOKENS_EACH = 100
+TOKENS_PER_REQUEST = 100
 RANK = 3
 ENCODER = "mimosaspur_daemon.direct.fleetteller.encode_peer"
 
 
-class ReportsPlay:
+class ReportSimulation:
     """Let entries report and be told in any order, and check what each takes for others' work."""
 
     def __init__(self, entries: int, targets: Sequence[str]) -> None:
         self.targets = targets
         self.entries = [ReportedWork() for _ in range(entries)]
         # Reports on their way, and the last one heard, with their numbers.
-        self.sent: list[list[tuple[int, dict[str, WorkAt]]]] = [[] for _ in range(entries)]
-        self.heard: list[tuple[int, dict[str, WorkAt]]] = [(0, {}) for _ in range(entries)]
-        self.told: dict[str, WorkAt] = {}
+        self.in_transit: list[list[tuple[int, dict[str, WorkAt]]]] = [[] for _ in range(entries)]
+        self.received: list[tuple[int, dict[str, WorkAt]]] = [(0, {}) for _ in range(entries)]
+        self.last_sent: dict[str, WorkAt] = {}
         # What each entry takes for others' work, as it was last told that it has changed.
         self.views: list[dict[str, Work]] = [{} for _ in range(entries)]
 
@@ -42,26 +42,26 @@
         """Take one step."""
         if name == "report":
             work = [
-                WorkAt(target, count, {RANK: count * TOKENS_EACH}, count, {})
+                WorkAt(target, count, {RANK: count * TOKENS_PER_REQUEST}, count, {})
                 for target, count in (requests or {}).items()
             ]
             number = self.entries[entry].add(work)
-            self.sent[entry].append((number, {each.target: each for each in work}))
-        elif name == "hear" and self.sent[entry]:
-            self.heard[entry] = self.sent[entry].pop(0)
+            self.in_transit[entry].append((number, {each.target: each for each in work}))
+        elif name == "hear" and self.in_transit[entry]:
+            self.received[entry] = self.in_transit[entry].pop(0)
         elif name == "tell":
-            self._tell()
+            self._send_updates()
         elif name == "new coordinator":
             self.__init__(len(self.entries), self.targets)  # type: ignore[misc]
 
-    def _tell(self) -> None:
-        totals = total_work((work for _, work in self.heard), self.targets)
-        changed = [each for key, each in totals.items() if self.told.get(key) != each]
-        self.told = totals
+    def _send_updates(self) -> None:
+        totals = total_work((work for _, work in self.received), self.targets)
+        changed = [each for key, each in totals.items() if self.last_sent.get(key) != each]
+        self.last_sent = totals
         for index, entry in enumerate(self.entries):
-            entry.count(self.heard[index][0])
+            entry.count(self.received[index][0])
             self.views[index].update(entry.others(changed))
-            others = [work for at, (_, work) in enumerate(self.heard) if at != index]
+            others = [work for at, (_, work) in enumerate(self.received) if at != index]
             for target, wanted in total_work(others, self.targets).items():
                 found = self.views[index].get(target, Work())
                 assert found.requests == wanted.requests, (target, found, wanted)
@@ -80,7 +80,7 @@
         self.frames += bool(frames)
 
 
-class FollowedCoordinator:
+class CoordinatorWithMembers:
     """Own a coordinator's members, and count what is encoded for them."""
 
     def __init__(self, entries: int) -> None:
@@ -93,16 +93,16 @@
         self.links: dict[str, CountingLink] = {}
         self.encoded = 0
         for _ in range(entries):
-            self.newcomer()
+            self.add_entry()
 
-    def newcomer(self) -> None:
+    def add_entry(self) -> None:
         """Let one more entry follow."""
         name = f"entry-{len(self.links)}"
         self.links[name] = CountingLink()
         link = self.links[name]
         self.members.add(name, Member(link=link))  # type: ignore[arg-type]
 
-    def tell(self, *, work_at: int) -> None:
+    def send_updates(self, *, work_at: int) -> None:
         """Let the first entry report work at so many targets, and tell all of it."""
         work = [WorkAt(f"t{n}", 1, {}, 1, {}) for n in range(work_at)]
         report = EntryReport("entry-0", 1, work, [], [], [])
@@ -115,6 +115,6 @@
             self.members.tell([], self.lease)
         self.encoded = counted.call_count
 
-    def got(self) -> dict[str, int]:
+    def frame_counts(self) -> dict[str, int]:
         """Return how often each entry was sent something in the last pass."""
         return {name: link.frames for name, link in self.links.items()}
--- a/features/harness/parts_play.py
+++ b/features/harness/share_simulation.py
@@ -5,20 +5,20 @@
 from enum import Enum
 
 from harness.direct_fleet import HeldClock
-from mimosaspur_coordination.limits.partlease import PartLease
-from mimosaspur_coordination.limits.partlease import SharerCount
-from mimosaspur_coordination.limits.retrywindow import USED_PART
+from mimosaspur_coordination.limits.retrywindow import USED_SHARE
 from mimosaspur_coordination.limits.retrywindow import RetryWindow
+from mimosaspur_coordination.limits.sharelease import ShareLease
+from mimosaspur_coordination.limits.sharelease import SharerCount
 from mimosaspur_state.directsettings import RetryBounds
 
 WINDOW_MS = 2_000
 STEP_MS = 250
 # For how long a coordinator may go on to tell after another one has taken the lease.
-PROOF_MS = 2_000
+LEADERSHIP_OVERLAP_MS = 2_000
 # What its successor waits besides.
 HANDOVER_MS = 300
 # An entry that is silent for so long is dropped by its coordinator.
-SILENT_MS = 1_500
+SILENCE_TIMEOUT_MS = 1_500
 
 
 class Event(Enum):
@@ -35,12 +35,12 @@
 
 @dataclass(slots=True)
 class _Entry:
-    lease: PartLease
+    lease: ShareLease
     window: RetryWindow
     cut: bool = False
     frozen: bool = False
     # When its coordinator last heard it.
-    heard_ms: dict[int, int] = field(default_factory=dict)
+    last_report_ms: dict[int, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
@@ -52,12 +52,12 @@
     members: set[int] = field(default_factory=set)
 
 
-class PartsPlay:
+class ShareSimulation:
     """Own entries, coordinators' terms and the time."""
 
     def __init__(self, entries: int, slack: float) -> None:
         self.clock = HeldClock(0)
-        self.bounds = RetryBounds(ratio=0.0, window_ms=WINDOW_MS, slack=slack / USED_PART)
+        self.bounds = RetryBounds(ratio=0.0, window_ms=WINDOW_MS, slack=slack / USED_SHARE)
         self.entries = [self._entry() for _ in range(entries)]
         self.terms: list[_Term] = []
         self.spent: list[int] = []
@@ -76,12 +76,12 @@
             self._take_lease(who)
         self.clock.ms += STEP_MS
         for term in self.terms:
-            self._tell(term)
+            self._renew_shares(term)
         for each in self.entries:
-            while not each.frozen and each.window.spend():
+            while not each.frozen and each.window.try_spend():
                 self.spent.append(self.clock.ms)
 
-    def fullest(self) -> int:
+    def max_in_window(self) -> int:
         """Return the most that any window has."""
         most = 0
         begin = 0
@@ -92,7 +92,7 @@
         return most
 
     def _entry(self, *, cut: bool = False) -> _Entry:
-        lease = PartLease(window_ms=WINDOW_MS, clock=self.clock)
+        lease = ShareLease(window_ms=WINDOW_MS, clock=self.clock)
         return _Entry(lease, RetryWindow(self.bounds, lease=lease, clock=self.clock), cut)
 
     def _take_lease(self, who: int) -> None:
@@ -102,12 +102,12 @@
             return
         for term in self.terms:
             if term.ends_ms is None:
-                term.ends_ms = now_ms + PROOF_MS
-        ended_ms = now_ms + PROOF_MS + HANDOVER_MS if holders else now_ms
+                term.ends_ms = now_ms + LEADERSHIP_OVERLAP_MS
+        ended_ms = now_ms + LEADERSHIP_OVERLAP_MS + HANDOVER_MS if holders else now_ms
         count = SharerCount(window_ms=WINDOW_MS, predecessor_ended_ms=ended_ms, clock=self.clock)
         self.terms.append(_Term(who, count))
 
-    def _tell(self, term: _Term) -> None:
+    def _renew_shares(self, term: _Term) -> None:
         now_ms = self.clock.ms
         ended = term.ends_ms is not None and now_ms >= term.ends_ms
         if self.entries[term.holder].frozen:
@@ -115,19 +115,19 @@
         for number, entry in enumerate(self.entries):
             reached = number == term.holder or not (entry.cut or self.entries[term.holder].cut)
             if reached and not entry.frozen:
-                entry.heard_ms[id(term)] = now_ms
+                entry.last_report_ms[id(term)] = now_ms
                 if number not in term.members:
                     term.members.add(number)
-                    term.count.joined(str(number))
-            elif number in term.members and self._silent(entry, term):
+                    term.count.on_connect(str(number))
+            elif number in term.members and self._is_silent(entry, term):
                 term.members.discard(number)
-                term.count.lost(str(number))
-        sharers = 0 if ended else term.count.sharers()
+                term.count.on_disconnect(str(number))
+        sharers = 0 if ended else term.count.sharer_count()
         for number in term.members:
             entry = self.entries[number]
             reached = number == term.holder or not (entry.cut or self.entries[term.holder].cut)
             if reached and not entry.frozen and (not ended or number == term.holder):
-                entry.lease.tell(sharers)
+                entry.lease.renew(sharers)
 
-    def _silent(self, entry: _Entry, term: _Term) -> bool:
-        return self.clock.ms - entry.heard_ms.get(id(term), 0) > SILENT_MS
+    def _is_silent(self, entry: _Entry, term: _Term) -> bool:
+        return self.clock.ms - entry.last_report_ms.get(id(term), 0) > SILENCE_TIMEOUT_MS
--- a/features/harness/virtual_time.py
+++ b/features/harness/virtual_time.py
@@ -11,7 +11,7 @@
 START_S = 1_000.0
 
 
-class _JumpingSelector(selectors.SelectSelector):
+class _VirtualTimeSelector(selectors.SelectSelector):
     """Wait for nothing: let the time pass instead."""
 
     def __init__(self) -> None:
@@ -30,12 +30,12 @@
     """Keep the time that the selector has jumped to."""
 
     def __init__(self) -> None:
-        self.jumping = _JumpingSelector()
-        super().__init__(self.jumping)
+        self.selector = _VirtualTimeSelector()
+        super().__init__(self.selector)
 
     def time(self) -> float:
         """Return the virtual time."""
-        return self.jumping.now_s
+        return self.selector.now_s
 
 
 class VirtualClock:
@@ -53,7 +53,7 @@
         return self.now_ms()
 
 
-def run_virtually(work: Coroutine[Any, Any, T], loop: VirtualTimeLoop) -> T:
+def run_in_virtual_time(work: Coroutine[Any, Any, T], loop: VirtualTimeLoop) -> T:
     """Run a coroutine to its end; cancel what it leaves behind."""
     try:
         return loop.run_until_complete(work)
--- a/features/steps/bundles_versions_steps.py
+++ b/features/steps/bundles_versions_steps.py
@@ -28,9 +28,9 @@
 def say(context: Context, name: str, said: str, link: str) -> None:
     hint = TargetHint(name, "127.0.0.1:1", "terminal-norte")
     if said != NOTHING:
-        hint.connected(False, tuple(said.split()))
+        hint.on_connect(False, tuple(said.split()))
     if link == "lost":
-        hint.lost(LOST_AT_MS)
+        hint.on_disconnect(LOST_AT_MS)
     context.hints[name] = hint
 
 
--- a/features/steps/direct_answers_steps.py
+++ b/features/steps/direct_answers_steps.py
@@ -222,7 +222,7 @@
     for number in range(MEASURED if durations else 0):
         for route, _, _ in KINDS.values():
             lasted_ms = durations[number % len(durations)]
-            context.entry.state.durations.learn(route, lasted_ms, tokens=0)
+            context.entry.state.durations.record(route, lasted_ms, tokens=0)
 
 
 @given("the balancer has noticed that it leaves, it ends in {left:d} ms, and {others:d} stay")
--- a/features/steps/direct_bounds_steps.py
+++ b/features/steps/direct_bounds_steps.py
@@ -13,10 +13,10 @@
 from hypothesis import strategies
 
 from harness.direct_fleet import HeldClock
-from harness.parts import held_part
+from harness.share_leases import held_share
 from mimosaspur_coordination.fleetview import TargetView
 from mimosaspur_coordination.limits.retrywindow import RetryWindow
-from mimosaspur_coordination.targetchoice import sound
+from mimosaspur_coordination.targetchoice import preferred_targets
 from mimosaspur_coordination.targethealth import TargetHealth
 from mimosaspur_protocol.eventcut import EventCutter
 from mimosaspur_protocol.eventcut import EventMissing
@@ -25,9 +25,9 @@
 from mimosaspur_state.fleet import TargetRecord
 
 WINDOW_MS = 10_000
-MANY = 1_000
+SPEND_ATTEMPTS = 1_000
 EXAMPLES = 200
-FLOOD = 100_000
+FLOOD_EVENTS = 100_000
 
 
 @given(
@@ -36,7 +36,7 @@
 def make_window(context: Context, ratio: float, slack: int, entries: int) -> None:
     context.clock = HeldClock(0)
     bounds = RetryBounds(ratio=ratio, window_ms=WINDOW_MS, slack=slack)
-    lease = held_part(WINDOW_MS, sharers=entries, clock=context.clock)
+    lease = held_share(WINDOW_MS, sharers=entries, clock=context.clock)
     context.window = RetryWindow(bounds, lease=lease, clock=context.clock)
 
 
@@ -44,7 +44,7 @@
 def spend(context: Context, requests: int) -> None:
     for _ in range(requests):
         context.window.count_request()
-    context.spent = sum(context.window.spend() for _ in range(MANY))
+    context.spent = sum(context.window.try_spend() for _ in range(SPEND_ATTEMPTS))
 
 
 @then("at most {most:d} and at least {least:d} of them may be")
@@ -54,14 +54,14 @@
 
 @when("all repeats are spent and the window has passed")
 def spend_and_wait(context: Context) -> None:
-    while context.window.spend():
+    while context.window.try_spend():
         pass
     context.clock.ms += WINDOW_MS + 1
 
 
 @then("another one may be sent")
 def check_another(context: Context) -> None:
-    assert context.window.spend()
+    assert context.window.try_spend()
 
 
 @given("{count:d} targets of which {failing:d} fail all requests")
@@ -72,9 +72,9 @@
         health = TargetHealth(clock=context.clock)
         for _ in range(10):
             if number < failing:
-                health.failed()
+                health.record_failure()
             else:
-                health.succeeded()
+                health.record_success()
         record = TargetRecord(f"t-{number}", "service", ("127.0.0.1", 1), "here")
         context.views.append(TargetView(record, health))
 
@@ -86,7 +86,7 @@
 
 @then("{kept:d} targets are left to choose from")
 def check_kept(context: Context, kept: int) -> None:
-    assert len(sound(context.views)) == kept
+    assert len(preferred_targets(context.views)) == kept
 
 
 @then("any pieces of any stream give its whole events once and in order")
@@ -139,10 +139,10 @@
 @then("writing took under {seconds:d} s, all are counted and memory holds under 1 MB")
 def check_log(context: Context, seconds: int) -> None:
     assert context.took_s < seconds, context.took_s
-    assert context.log.counters.counts["attempt", "failed"] == FLOOD
+    assert context.log.counters.counts["attempt", "failed"] == FLOOD_EVENTS
     assert sum(map(len, context.log.waiting)) < 1_000_000
-    assert f'result="failed"}} {FLOOD}' in context.log.counters.text()
-    assert json.loads(json.dumps(context.log.left_out)) == {"attempt": FLOOD - 40}
+    assert f'result="failed"}} {FLOOD_EVENTS}' in context.log.counters.text()
+    assert json.loads(json.dumps(context.log.left_out)) == {"attempt": FLOOD_EVENTS - 40}
 
 
 def _events(first: int, last: int) -> bytes:
--- a/features/steps/direct_leadership_steps.py
+++ b/features/steps/direct_leadership_steps.py
@@ -16,7 +16,7 @@
 from harness.failing_store import UNREACHABLE
 from harness.virtual_time import VirtualClock
 from harness.virtual_time import VirtualTimeLoop
-from harness.virtual_time import run_virtually
+from harness.virtual_time import run_in_virtual_time
 from mimosaspur_coordination.carrying import news_pause_s
 from mimosaspur_coordination.fleetports import LeaseRecord
 from mimosaspur_daemon.direct.coordinator import Coordinator
@@ -49,7 +49,9 @@
         random.seed(seed)
         loop = VirtualTimeLoop()
         first = None if lease == "no lease yet" else LOST
-        context.taken.append(run_virtually(_first_holder(context.machines, first, loop), loop))
+        context.taken.append(
+            run_in_virtual_time(_first_holder(context.machines, first, loop), loop)
+        )
 
 
 async def _first_holder(
@@ -141,7 +143,7 @@
         for _ in range(times):
             await context.duty._renew()
 
-    run_virtually(renew(), context.loop)
+    run_in_virtual_time(renew(), context.loop)
 
 
 @then("{count:d} entries were asked to read it")
@@ -157,7 +159,7 @@
         await asyncio.sleep(seconds)
         assert not holding.done(), "the lease was given up though nobody else has it"
 
-    run_virtually(play(), context.loop)
+    run_in_virtual_time(play(), context.loop)
 
 
 @then("between {least:d} and {most:d} requests for a proof were sent to each entry")
--- a/features/steps/direct_lifetimes_steps.py
+++ b/features/steps/direct_lifetimes_steps.py
@@ -115,8 +115,8 @@
 def learn(context: Context) -> None:
     view = context.view = context.state.fleet.targets["i-1"]
     prompt = Prompt("notes", prompt_tokens=10, parts=(("p", 5), ("own", 5)))
-    view.first_token(prompt, unread=10, predicted_ms=50, took_ms=400)
-    view.health.failed()
+    view.on_first_token(prompt, unread=10, predicted_ms=50, took_ms=400)
+    view.health.record_failure()
     context.pool = context.state.pool(view.record)
 
 
@@ -131,5 +131,5 @@
 def check_learnt(context: Context, learnt: str, connections: str) -> None:
     view = context.state.fleet.targets["i-1"]
     assert (view is context.view) == (learnt == "kept")
-    assert (bool(view.parts) and view.health.failing > 0) == (learnt == "kept")
+    assert (bool(view.prompt_parts) and view.health.last_failure_share > 0) == (learnt == "kept")
     assert (context.state.pool(view.record) is context.pool) == (connections == "kept")
--- a/features/steps/direct_moves_steps.py
+++ b/features/steps/direct_moves_steps.py
@@ -55,7 +55,7 @@
 @given("no repeats are left")
 def spend_repeats(context: Context) -> None:
     window = context.entry.state.retry_window("service")
-    while window.spend():
+    while window.try_spend():
         pass
 
 
--- a/features/steps/direct_policy_steps.py
+++ b/features/steps/direct_policy_steps.py
@@ -81,15 +81,15 @@
 @then("a measured pace stays 1")
 def check_pace(context: Context) -> None:
     view = context.state.fleet.targets["x"]
-    view.first_token(PROMPT, unread=4_000, predicted_ms=230, took_ms=900)
-    assert context.state.fleet.paces.of("notes") == 1.0
+    view.on_first_token(PROMPT, unread=4_000, predicted_ms=230, took_ms=900)
+    assert context.state.fleet.paces.token_cost("notes") == 1.0
 
 
 @then("the part of a queue that is waited for stays 1")
 def check_queue_part(context: Context) -> None:
     view = context.state.fleet.targets["x"]
-    view.first_token(PROMPT, unread=100, predicted_ms=2_000, took_ms=300)
-    assert view.speed.queue_part.value == 1.0
+    view.on_first_token(PROMPT, unread=100, predicted_ms=2_000, took_ms=300)
+    assert view.speed.queue_ratio.value == 1.0
 
 
 @then("the coordinator tells nothing of the store")
--- a/features/steps/direct_quotas_steps.py
+++ b/features/steps/direct_quotas_steps.py
@@ -22,8 +22,8 @@
 from harness.direct_world import settings_for
 from harness.loop import run
 from mimosaspur_coordination.quota.bounds import refill_per_s
-from mimosaspur_coordination.quota.level import Level
 from mimosaspur_coordination.quota.limiter import QuotaLimiter
+from mimosaspur_coordination.quota.quotabucket import QuotaBucket
 from mimosaspur_daemon.direct.entrystate import EntryState
 from mimosaspur_daemon.direct.quotateller import QuotaTeller
 from mimosaspur_load.quotas.play import QuotaPlay
@@ -35,15 +35,15 @@
 from mimosaspur_state.workspaces import Quota
 from mimosaspur_state.workspaces import QuotaUnit
 
-WAYS = {"what the coordinator tells": "told", "an even split": "even"}
+ALGORITHMS = {"what the coordinator tells": "told", "an even split": "even"}
 TIGHT = QuotaBounds(window_ms=1_000, overage=0.0, slack=2.5)
 ONE_REQUEST = Quota(QuotaUnit.REQUESTS, per_s=0.001, burst=0.0)
-LEAST_SHARE = 3
+MIN_TIMEOUT_RATIO = 3
 
 
 @given("quotas that {count:d} entries hold by {way}, {seeds:d} seeds")
 def set_way(context: Context, count: int, way: str, seeds: int) -> None:
-    context.way, context.count, context.seeds = WAYS[way], count, range(seeds)
+    context.way, context.count, context.seeds = ALGORITHMS[way], count, range(seeds)
 
 
 @when("callers come, with {trouble}")
@@ -79,7 +79,7 @@
     state.quotas.bounds = TIGHT
     state.quotas.accounts.clear()
     state.quotas.configure(state.configuration.workspaces)
-    state.quotas.hear([], entries=1)
+    state.quotas.apply_update([], entries=1)
     run(context, context.entry.begin())
     if fault == "is not there":
         context.entry.target.server.close()
@@ -146,7 +146,7 @@
 def check_retry_after(context: Context) -> None:
     wait_s = float(context.answers[1].headers["retry-after"])
     timeout_ms = context.entry.state.configuration.routes[0].timeout_ms
-    assert 0 < wait_s <= timeout_ms / 1000 / LEAST_SHARE, wait_s
+    assert 0 < wait_s <= timeout_ms / 1000 / MIN_TIMEOUT_RATIO, wait_s
 
 
 @then("any play of entries that are cut off, killed and told late keeps every window within bounds")
@@ -195,7 +195,7 @@
     @settings(derandomize=True, database=None, max_examples=300, deadline=None)
     @given_any(amounts)
     def check(takes: list[tuple[int, int]]) -> None:
-        level = Level(capacity=100.0, per_s=10.0, content=100.0, at_ms=0)
+        level = QuotaBucket(capacity=100.0, per_s=10.0, content=100.0, at_ms=0)
         now_ms, content = 0, 100.0
         for pause_ms, cost in takes:
             now_ms += pause_ms
@@ -219,7 +219,7 @@
     limited = tuple(replace(each, quota=ONE_REQUEST) for each in newest.workspaces or ())
     state.adopt(replace(newest, workspaces=limited), source="test")
     if told != "no":
-        state.quotas.hear([], entries=int(told))
+        state.quotas.apply_update([], entries=int(told))
     context.teller = QuotaTeller(state)
 
 
@@ -236,6 +236,6 @@
 @then("{part:d} in 100 of the refill is set aside")
 def check_set_aside(context: Context, part: int) -> None:
     ledger = context.teller.ledger
-    for name, counted in ledger.counted.items():
+    for name, counted in ledger.usages.items():
         refill = refill_per_s(counted.quota, ledger.bounds)
-        assert round(100 * ledger.absent.per_s(name) / refill) == part, name
+        assert round(100 * ledger.disconnected.reserved_per_s(name) / refill) == part, name
--- a/features/steps/direct_repeats_steps.py
+++ b/features/steps/direct_repeats_steps.py
@@ -13,23 +13,23 @@
 from harness.direct_fleet import HeldClock
 from harness.direct_site import Site
 from harness.loop import run
-from harness.parts_play import Event
-from harness.parts_play import PartsPlay
-from mimosaspur_coordination.limits.partlease import PartLease
+from harness.share_simulation import Event
+from harness.share_simulation import ShareSimulation
+from mimosaspur_coordination.limits.sharelease import ShareLease
 from mimosaspur_state.directsettings import RetryBounds
 
 SERVICE = "service"
 SPENT_WITHIN_S = 20.0
 TROUBLE_S = 4.0
-LOOK_S = 0.02
-PLAYS = 150
-MOST_STEPS = 160
+SPEND_INTERVAL_S = 0.02
+MAX_EXAMPLES = 150
+MAX_STEPS = 160
 WINDOW_MS = 10_000
-TOLD_EVERY_MS = 100
+RENEW_INTERVAL_MS = 100
 SHARERS = 4
 
 
-class _Spenders:
+class _RetrySpender:
     """Spend all that each entry may, and remember when."""
 
     def __init__(self, site: Site) -> None:
@@ -41,12 +41,12 @@
             now_s = asyncio.get_running_loop().time()
             for entry in self.site.entries:
                 window = entry.state.retry_window(SERVICE)
-                while window.spend():
+                while window.try_spend():
                     name = entry.state.settings.instance
                     self.spent.setdefault(name, []).append(now_s)
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(SPEND_INTERVAL_S)
 
-    def fullest(self, window_s: float) -> int:
+    def max_in_window(self, window_s: float) -> int:
         """Return the most repeats that any window has."""
         times = sorted(each for spent in self.spent.values() for each in spent)
         return max(
@@ -67,7 +67,7 @@
 def repeat(context: Context, trouble: str) -> None:
     async def play() -> None:
         site = context.site
-        spenders = context.spenders = _Spenders(site)
+        spenders = context.spenders = _RetrySpender(site)
         spending = asyncio.create_task(spenders.run())
         await site.until(lambda: len(spenders.spent) == site.count, SPENT_WITHIN_S)
         troubling = asyncio.create_task(_trouble(site, trouble))
@@ -93,13 +93,13 @@
 
 @then("no {window_ms:d} ms have more than {most:d} repeats")
 def check_repeats(context: Context, window_ms: int, most: int) -> None:
-    fullest = context.spenders.fullest(window_ms / 1000)
+    fullest = context.spenders.max_in_window(window_ms / 1000)
     assert fullest <= most, fullest
 
 
 @then("{window_ms:d} ms have at least {least:d} repeats")
 def check_least(context: Context, window_ms: int, least: int) -> None:
-    assert context.spenders.fullest(window_ms / 1000) >= least
+    assert context.spenders.max_in_window(window_ms / 1000) >= least
 
 
 @then(
@@ -113,15 +113,15 @@
     )
     spent = []
 
-    @settings(max_examples=PLAYS, derandomize=True, database=None, deadline=None)
-    @given_any(strategies.lists(happening, min_size=MOST_STEPS // 2, max_size=MOST_STEPS))
+    @settings(max_examples=MAX_EXAMPLES, derandomize=True, database=None, deadline=None)
+    @given_any(strategies.lists(happening, min_size=MAX_STEPS // 2, max_size=MAX_STEPS))
     def check(events: list[tuple[int, Event]]) -> None:
-        play = PartsPlay(count, slack)
+        play = ShareSimulation(count, slack)
         play.step(0, Event.TAKE_LEASE)
         for who, event in events:
             play.step(who, event)
         spent.append(len(play.spent))
-        assert play.fullest() <= most, play.fullest()
+        assert play.max_in_window() <= most, play.max_in_window()
 
     check()
     assert max(spent) > most, "no play spent anything"
@@ -130,21 +130,21 @@
 @given("an entry that was told of its part for {seconds:d} s")
 def hold_part(context: Context, seconds: int) -> None:
     context.clock = HeldClock(1_000)
-    context.lease = PartLease(window_ms=WINDOW_MS, clock=context.clock)
-    _tell(context, seconds * 1_000)
+    context.lease = ShareLease(window_ms=WINDOW_MS, clock=context.clock)
+    _renew(context, seconds * 1_000)
 
 
-def _tell(context: Context, ms: int) -> None:
-    for _ in range(0, ms, TOLD_EVERY_MS):
-        context.lease.tell(SHARERS)
-        context.clock.ms += TOLD_EVERY_MS
-    context.lease.tell(SHARERS)
+def _renew(context: Context, ms: int) -> None:
+    for _ in range(0, ms, RENEW_INTERVAL_MS):
+        context.lease.renew(SHARERS)
+        context.clock.ms += RENEW_INTERVAL_MS
+    context.lease.renew(SHARERS)
 
 
 @when("its process starts again and is told for {ms:d} ms")
 def start_again(context: Context, ms: int) -> None:
-    context.lease = PartLease(window_ms=WINDOW_MS, clock=context.clock)
-    _tell(context, ms)
+    context.lease = ShareLease(window_ms=WINDOW_MS, clock=context.clock)
+    _renew(context, ms)
 
 
 @when("it is told nothing for {ms:d} ms")
@@ -156,14 +156,14 @@
 @when("it is told nothing for {ms:d} ms, and then again")
 def tell_again(context: Context, ms: int) -> None:
     context.clock.ms += ms
-    context.lease.tell(SHARERS)
+    context.lease.renew(SHARERS)
 
 
 @when("a new coordinator tells of no part")
 def tell_none(context: Context) -> None:
-    context.lease.tell(0)
+    context.lease.renew(0)
 
 
 @then("its part of the constant is {part:g}")
 def check_part(context: Context, part: float) -> None:
-    assert context.lease.part() == part, context.lease.part()
+    assert context.lease.share() == part, context.lease.share()
--- a/features/steps/direct_retries_steps.py
+++ b/features/steps/direct_retries_steps.py
@@ -15,7 +15,7 @@
 from harness.failing_store import FailingStore
 from harness.virtual_time import VirtualClock
 from harness.virtual_time import VirtualTimeLoop
-from harness.virtual_time import run_virtually
+from harness.virtual_time import run_in_virtual_time
 from mimosaspur_daemon.direct.duty import Duty
 from mimosaspur_daemon.direct.entrystate import EntryState
 from mimosaspur_daemon.direct.storewatch import StoreWatch
@@ -62,7 +62,7 @@
         await asyncio.sleep(seconds)
         assert not any(task.done() for task in tasks), "a loop has ended"
 
-    run_virtually(play(), context.loop)
+    run_in_virtual_time(play(), context.loop)
 
 
 @when("a target's registration is gone from the store and {seconds:d} s pass")
@@ -76,7 +76,7 @@
         await asyncio.sleep(seconds)
         assert not task.done(), "the loop has ended"
 
-    run_virtually(play(), context.loop)
+    run_in_virtual_time(play(), context.loop)
 
 
 @then("it made at most {most:d} calls to the store and wrote at most {lines:d} log lines")
@@ -105,7 +105,7 @@
         set_entry(context, "calls", "are refused at once")
         # The outage ends at any place between two attempts.
         away_s = AWAY_S + seed / count
-        used = run_virtually(_leaves_after(context, away_s, leaves, gone, by), context.loop)
+        used = run_in_virtual_time(_leaves_after(context, away_s, leaves, gone, by), context.loop)
         assert not used, (seed, away_s)
 
 
@@ -126,4 +126,4 @@
     store.change("y", None)
     await asyncio.sleep((by_ms - leaves_ms - gone_ms) / 1000)
     assert not task.done()
-    return any(view.record.identity == "y" for view in state.fleet.serving("service"))
+    return any(view.record.identity == "y" for view in state.fleet.serving_targets("service"))
--- a/features/steps/direct_work_steps.py
+++ b/features/steps/direct_work_steps.py
@@ -13,13 +13,13 @@
 from hypothesis import strategies
 
 from harness.direct_fleet import HeldClock
-from harness.reports_play import FollowedCoordinator
-from harness.reports_play import ReportsPlay
+from harness.report_simulation import CoordinatorWithMembers
+from harness.report_simulation import ReportSimulation
 from mimosaspur_coordination.fleetview import FleetView
 from mimosaspur_coordination.fleetview import Prompt
 from mimosaspur_coordination.fleetview import TargetView
 from mimosaspur_coordination.modelpace import SharedPaces
-from mimosaspur_coordination.readingspeed import FIRST_BASE_MS as FIRST_TOKEN_MS
+from mimosaspur_coordination.prefillspeed import INITIAL_BASE_MS as FIRST_TOKEN_MS
 from mimosaspur_daemon.direct.fleetreport import total_work
 from mimosaspur_daemon.direct.reportedwork import ReportedWork
 from mimosaspur_protocol.peermessages import WorkAt
@@ -118,7 +118,7 @@
     @example(taken_over)
     @given_any(actions)
     def check(steps: list[tuple[Any, ...]]) -> None:
-        play = ReportsPlay(ENTRIES, TARGETS)
+        play = ReportSimulation(ENTRIES, TARGETS)
         for name, *arguments in steps:
             play.step(name, *arguments)
 
@@ -127,20 +127,20 @@
 
 @given("a coordinator that {count:d} entries follow, and one that has just come")
 def set_members(context: Context, count: int) -> None:
-    context.followed = FollowedCoordinator(count)
+    context.followed = CoordinatorWithMembers(count)
 
 
 @when("the work at {count:d} targets changes")
 def change_work(context: Context, count: int) -> None:
-    context.followed.tell(work_at=0)
-    context.followed.newcomer()
-    context.followed.tell(work_at=count)
+    context.followed.send_updates(work_at=0)
+    context.followed.add_entry()
+    context.followed.send_updates(work_at=count)
 
 
 @then("{count:d} fleet reports are encoded, and each entry gets one")
 def check_encoded(context: Context, count: int) -> None:
     assert context.followed.encoded == count, context.followed.encoded
-    assert set(context.followed.got().values()) == {1}, context.followed.got()
+    assert set(context.followed.frame_counts().values()) == {1}, context.followed.frame_counts()
 
 
 @given("engines that read slow at {slow:d} tokens a ms and fast at {fast:d} tokens a ms")
@@ -154,11 +154,11 @@
 def _measure(context: Context, view: TargetView, model: str, *, slower: float = 1.0) -> None:
     prompt = Prompt(model, prompt_tokens=MEASURED_TOKENS)
     predicted_ms = view.first_token_ms(prompt, rank=RANK)
-    unread = view.begin(prompt, rank=RANK)
+    unread = view.on_sent(prompt, rank=RANK)
     took_ms = FIRST_TOKEN_MS + MEASURED_TOKENS / context.speeds[model] * slower
-    view.read(unread=unread, rank=RANK)
-    view.first_token(prompt, unread=unread, predicted_ms=predicted_ms, took_ms=took_ms)
-    view.end(prompt)
+    view.on_prefill_end(unread=unread, rank=RANK)
+    view.on_first_token(prompt, unread=unread, predicted_ms=predicted_ms, took_ms=took_ms)
+    view.on_end(prompt)
 
 
 @when("{count:d} requests for each model have been measured, one at a time")
@@ -197,7 +197,7 @@
     for identity, model in (("x", "fast"), ("y", "slow")):
         view = context.fleet.targets[identity]
         for _ in range(3):
-            view.begin(Prompt(model, prompt_tokens=LONG_TOKENS), rank=RANK)
+            view.on_sent(Prompt(model, prompt_tokens=LONG_TOKENS), rank=RANK)
         expected[model] = view.first_token_ms(asked, rank=RANK)
     assert expected["fast"] * 2 < expected["slow"], expected
 
@@ -217,11 +217,11 @@
     for _ in range(rounds):
         for fleet in learners:
             _measure(context, fleet.targets["x"], "fast")
-            for model, pace in fleet.paces.news().items():
-                context.shared.hear(model, pace)
-        for model, pace in context.shared.news().items():
+            for model, pace in fleet.paces.take_changes().items():
+                context.shared.add_report(model, pace)
+        for model, pace in context.shared.take_changes().items():
             for fleet in context.entries:
-                fleet.paces.adopt(model, pace)
+                fleet.paces.apply_shared(model, pace)
 
 
 @when("each entry measures {each:d} requests for fast, telling the others in turns")
@@ -246,7 +246,7 @@
 def _behind(context: Context, queued: int, percent: int) -> tuple[TargetView, Prompt, float]:
     """Queue counted tokens at a target; return what a request there takes."""
     view = context.fleet.targets["x"]
-    view.others.unread[RANK] = float(queued)
+    view.others_work.unread[RANK] = float(queued)
     tokens = MEASURED_TOKENS / context.speeds["fast"]
     per_token_ms = 1 / context.speeds["slow"]
     waits_ms = queued * percent / 100 * per_token_ms
@@ -261,8 +261,8 @@
     view, prompt, takes_ms = _behind(context, queued, percent)
     for _ in range(count):
         predicted_ms = view.first_token_ms(prompt, rank=RANK)
-        unread = view.unread_tokens(prompt)
-        view.first_token(prompt, unread=unread, predicted_ms=predicted_ms, took_ms=takes_ms)
+        unread = view.prefill_tokens(prompt)
+        view.on_first_token(prompt, unread=unread, predicted_ms=predicted_ms, took_ms=takes_ms)
     context.percent = percent
 
 
--- a/features/steps/direct_workspaces_steps.py
+++ b/features/steps/direct_workspaces_steps.py
@@ -184,12 +184,12 @@
     @settings(derandomize=True, database=None, max_examples=3000, deadline=None)
     @given_any(strategies.lists(value, max_size=3))
     def check(values: list[bytes]) -> None:
-        assert read_bearer(values) == _naively(values), values
+        assert read_bearer(values) == _read_bearer_by_splitting(values), values
 
     check()
 
 
-def _naively(values: list[bytes]) -> bytes | None:
+def _read_bearer_by_splitting(values: list[bytes]) -> bytes | None:
     if len(values) != 1:
         return None
     stripped = values[0].strip(b" \t")
--- a/features/steps/refusals_steps.py
+++ b/features/steps/refusals_steps.py
@@ -145,14 +145,14 @@
 )
 def _check_order(wanted: list[tuple[int, int]], limit: int) -> None:
     clock = SystemClock()
-    queue = AdmissionQueue(clock, slots=1, limit=limit, service_time_ms=0)
-    first = queue.enter(0, Deadline(clock, FAR_MS), threading.Event())
+    queue = AdmissionQueue(clock, slots=1, max_waiting=limit, service_time_ms=0)
+    first = queue.acquire(0, Deadline(clock, FAR_MS), threading.Event())
     base, granted = Deadline(clock, FAR_MS).at_ms, _Granted()
     for number, (priority, later_s) in enumerate(wanted):
         deadline = Deadline(clock, 0)
         deadline.at_ms = base + later_s * MS
         _enter(queue, granted, number, priority, deadline)
-    queue.leave(first, None)
+    queue.release(first, None)
     kept = range(min(limit, len(wanted)))
     wait_for(lambda: len(granted.order) == len(kept), "all are granted")
     assert granted.order == sorted(kept, key=lambda number: (*wanted[number], number))
@@ -172,12 +172,12 @@
 
     def serve() -> None:
         try:
-            ticket: Ticket = queue.enter(priority, deadline, threading.Event())
+            ticket: Ticket = queue.acquire(priority, deadline, threading.Event())
         except MimosaspurError:
             granted.refused.append(number)
             return
         granted.order.append(number)
-        queue.leave(ticket, None)
+        queue.release(ticket, None)
 
     threading.Thread(target=serve, daemon=True).start()
     wait_for(lambda: len(queue.waiting) > before or number in granted.refused, f"{number} waits")
--- a/features/steps/scale_any_steps.py
+++ b/features/steps/scale_any_steps.py
@@ -16,11 +16,11 @@
 from hypothesis import strategies as st
 
 from mimosaspur_coordination import orders
-from mimosaspur_coordination.directory import Directory
-from mimosaspur_coordination.directory import service_resident
 from mimosaspur_coordination.mirror import Mirror
 from mimosaspur_coordination.routing import Candidate
 from mimosaspur_coordination.routing import candidates_for
+from mimosaspur_coordination.targetdirectory import TargetDirectory
+from mimosaspur_coordination.targetdirectory import service_resident
 from mimosaspur_daemon.engine_situation import Situation
 from mimosaspur_daemon.engine_situation import Situations
 from mimosaspur_state import keys
@@ -133,7 +133,7 @@
 
     def __init__(self) -> None:
         self.changes = Changes()
-        self.directory = Directory(self.changes.mirror, region=REGION)
+        self.directory = TargetDirectory(self.changes.mirror, region=REGION)
         self.former: dict[str, Any] = {}
 
     def apply(self, event: Event) -> None:
@@ -154,19 +154,19 @@
             self.directory.update(listed)
         elif kind == "said late" and what in self.former:
             # The connection to an address that is left may still tell something.
-            self.former[what].connected(False, how)
+            self.former[what].on_connect(False, how)
         elif what in hints:
             self._tell(kind, hints[what], how)
 
     def _tell(self, kind: str, hint: Any, how: Any) -> None:
         if kind == "said":
-            hint.connected(False, how)
+            hint.on_connect(False, how)
         elif kind == "resident":
             hint.residents = frozenset(how)
         elif kind == "lost":
-            hint.lost(1)
+            hint.on_disconnect(1)
         elif kind == "busy":
-            hint.own = how
+            hint.in_flight = how
 
     def check(self) -> None:
         """Compare all answers with the scan's."""
--- a/features/steps/scale_steps.py
+++ b/features/steps/scale_steps.py
@@ -13,9 +13,9 @@
 
 from mimosaspur_coordination import decoded
 from mimosaspur_coordination.decoded import RecordCache
-from mimosaspur_coordination.directory import Directory
-from mimosaspur_coordination.listpace import ListPace
+from mimosaspur_coordination.listreadlimiter import ListReadLimiter
 from mimosaspur_coordination.mirror import Mirror
+from mimosaspur_coordination.targetdirectory import TargetDirectory
 from mimosaspur_daemon.engine_situation import Situations
 from mimosaspur_daemon.instancefollower import InstanceFollower
 from mimosaspur_state import keys
@@ -79,7 +79,7 @@
 def make_pace(context: Context, size: int, rate: int) -> None:
     context.size_bytes = size
     context.rate = rate
-    context.pace = ListPace(pause_ms=PAUSE_MS, bytes_per_second=rate)
+    context.pace = ListReadLimiter(interval_ms=PAUSE_MS, bytes_per_second=rate)
     context.last_ms = 0
     context.sought = []
 
@@ -91,18 +91,18 @@
     for reading in [] if readings == NEVER else readings.split():
         context.last_ms = int(reading.removesuffix(FAILS))
         if reading.endswith(FAILS):
-            context.pace.not_answered(context.last_ms)
+            context.pace.record_failure(context.last_ms)
         else:
             # The first reading is before anybody is sought.
             tried = context.sought if context.last_ms else []
-            context.pace.noted(context.last_ms, context.size_bytes, tried)
+            context.pace.record_read(context.last_ms, context.size_bytes, tried)
 
 
 @then("it is read next at {next_ms:d} ms")
 def check_next(context: Context, next_ms: int) -> None:
     first_ms = context.last_ms + STEP_MS if context.was_read else 0
     times = range(first_ms, LONGEST_MS, STEP_MS)
-    found = next(now_ms for now_ms in times if context.pace.due(now_ms, context.sought))
+    found = next(now_ms for now_ms in times if context.pace.is_due(now_ms, context.sought))
     assert found == next_ms, f"it is read at {found} ms"
 
 
@@ -112,9 +112,9 @@
     context.readings = 0
     for now_ms in range(0, context.span_ms, STEP_MS):
         sought = [f"t{now_ms}"]
-        if context.pace.due(now_ms, sought):
+        if context.pace.is_due(now_ms, sought):
             context.readings += 1
-            context.pace.noted(now_ms, context.size_bytes, sought)
+            context.pace.record_read(now_ms, context.size_bytes, sought)
 
 
 @then("the readings took at most {rate:d} bytes a second and two lists")
@@ -128,7 +128,7 @@
 def make_follower(context: Context, size: int, pause: int) -> None:
     context.mirror = new_mirror()
     context.mirror.reachable = True
-    context.directory = Directory(context.mirror, region=REGION)
+    context.directory = TargetDirectory(context.mirror, region=REGION)
     context.listing = Listing(size)
     settings = PlatformSettings(ADDRESS, ADDRESS, instance_list_ms=pause)
     context.follower = InstanceFollower(
@@ -162,14 +162,14 @@
 @when('the connection to "{name}" is lost and the list gives it a new address')
 def lose_target(context: Context, name: str) -> None:
     context.listing.listed = [instance(name, NEW_ADDRESS)]
-    context.directory.hints[name].lost(1)
+    context.directory.hints[name].on_disconnect(1)
 
 
 @then('the entry knows "{name}" long before the next regular reading')
 def check_known(context: Context, name: str) -> None:
     # A regular reading comes after 20 s, past the bound.
     await_that(lambda: name in context.directory.hints)
-    assert name not in context.directory.sought()
+    assert name not in context.directory.unresolved_targets()
 
 
 @then('the entry knows the new address of "{name}" long before the next regular reading')
--- a/packages/coordination/src/mimosaspur_coordination/admission.py
+++ b/packages/coordination/src/mimosaspur_coordination/admission.py
@@ -11,8 +11,8 @@
 from mimosaspur_state.codes import ResultCode
 from mimosaspur_state.errors import MimosaspurError
 
-SMOOTHING = 0.2
-SHORTEST_RETRY_MS = 200
+SMOOTHING_FACTOR = 0.2
+MIN_RETRY_AFTER_MS = 200
 
 
 @dataclass(slots=True, order=True)
@@ -35,11 +35,17 @@
     """
 
     def __init__(
-        self, clock: Clock, *, slots: int, limit: int, service_time_ms: int, naive: bool = False
+        self,
+        clock: Clock,
+        *,
+        slots: int,
+        max_waiting: int,
+        service_time_ms: int,
+        naive: bool = False,
     ) -> None:
         self.clock = clock
         self.slots = slots
-        self.limit = limit
+        self.max_waiting = max_waiting
         self.naive = naive
         self.service_time_ms = float(service_time_ms)
         self.active = 0
@@ -48,7 +54,7 @@
         self.closed = False
         self.changed = threading.Condition()
 
-    def enter(self, priority: int, deadline: Deadline, cancelled: threading.Event) -> Ticket:
+    def acquire(self, priority: int, deadline: Deadline, cancelled: threading.Event) -> Ticket:
         """Wait for a slot and take it; raise MimosaspurError (not run) when given up on."""
         with self.changed:
             ticket = Ticket(priority, deadline.at_ms, next(self.sequence), cancelled)
@@ -57,12 +63,12 @@
                 self.active += 1
                 ticket.granted = True
                 return ticket
-            self._check_room(ticket, deadline)
+            self._check_capacity(ticket, deadline)
             heapq.heappush(self.waiting, ticket)
             self._await_grant(ticket, deadline)
             return ticket
 
-    def leave(self, ticket: Ticket, took_ms: int | None) -> None:
+    def release(self, ticket: Ticket, took_ms: int | None) -> None:
         """Give the slot back; took_ms is the running time of a request that ended well."""
         with self.changed:
             if not ticket.granted:
@@ -70,11 +76,11 @@
             ticket.granted = False
             self.active -= 1
             if took_ms is not None:
-                self.service_time_ms += SMOOTHING * (took_ms - self.service_time_ms)
+                self.service_time_ms += SMOOTHING_FACTOR * (took_ms - self.service_time_ms)
             self._grant()
             self.changed.notify_all()
 
-    def wake(self) -> None:
+    def recheck_waiting(self) -> None:
         """Have those that wait look at whether their callers are gone."""
         with self.changed:
             self.changed.notify_all()
@@ -97,47 +103,53 @@
     def predicted_wait_ms(self, priority: int) -> int:
         """Predict the wait of a request of this priority that came now."""
         with self.changed:
-            return self._wait_behind(sum(1 for other in self.waiting if other.priority <= priority))
+            return self._predict_wait_ms(
+                sum(1 for other in self.waiting if other.priority <= priority)
+            )
 
     def _check_open(self) -> None:
         if self.closed:
-            raise MimosaspurError(ResultCode.DRAINING, retry_after_ms=SHORTEST_RETRY_MS)
+            raise MimosaspurError(ResultCode.DRAINING, retry_after_ms=MIN_RETRY_AFTER_MS)
 
-    def _check_room(self, ticket: Ticket, deadline: Deadline) -> None:
-        if len(self.waiting) >= self.limit:
-            wait_ms = self._wait_behind(len(self.waiting))
-            raise MimosaspurError(ResultCode.QUEUE_FULL, retry_after_ms=self._retry(wait_ms))
+    def _check_capacity(self, ticket: Ticket, deadline: Deadline) -> None:
+        if len(self.waiting) >= self.max_waiting:
+            wait_ms = self._predict_wait_ms(len(self.waiting))
+            raise MimosaspurError(
+                ResultCode.QUEUE_FULL, retry_after_ms=self._retry_after_ms(wait_ms)
+            )
         if not self.naive:
-            self._check_reachable(ticket, deadline)
+            self._check_deadline(ticket, deadline)
 
-    def _check_reachable(self, ticket: Ticket, deadline: Deadline) -> None:
+    def _check_deadline(self, ticket: Ticket, deadline: Deadline) -> None:
         ahead = sum(1 for other in self.waiting if other < ticket)
-        needed_ms = self._wait_behind(ahead) + self.service_time_ms
+        needed_ms = self._predict_wait_ms(ahead) + self.service_time_ms
         short_ms = int(needed_ms - deadline.left_ms())
         if short_ms > 0:
             raise MimosaspurError(
                 ResultCode.DEADLINE_UNREACHABLE,
                 f"It needs {int(needed_ms)} ms and has {deadline.left_ms()} ms.",
-                retry_after_ms=self._retry(short_ms),
+                retry_after_ms=self._retry_after_ms(short_ms),
             )
 
     def _await_grant(self, ticket: Ticket, deadline: Deadline) -> None:
         while not ticket.granted:
             try:
-                self._check_waiting(ticket, deadline)
+                self._check_still_admissible(ticket, deadline)
             except MimosaspurError:
                 self.waiting.remove(ticket)
                 heapq.heapify(self.waiting)
                 raise
             self.changed.wait(deadline.left_s())
 
-    def _check_waiting(self, ticket: Ticket, deadline: Deadline) -> None:
+    def _check_still_admissible(self, ticket: Ticket, deadline: Deadline) -> None:
         if ticket.cancelled.is_set():
             raise MimosaspurError(ResultCode.CANCELLED)
         if deadline.passed():
-            raise MimosaspurError(ResultCode.DEADLINE_UNREACHABLE, retry_after_ms=SHORTEST_RETRY_MS)
+            raise MimosaspurError(
+                ResultCode.DEADLINE_UNREACHABLE, retry_after_ms=MIN_RETRY_AFTER_MS
+            )
         if not self.naive:
-            self._check_reachable(ticket, deadline)
+            self._check_deadline(ticket, deadline)
 
     def _grant(self) -> None:
         while self.waiting and self.active < self.slots:
@@ -145,10 +157,10 @@
             ticket.granted = True
             self.active += 1
 
-    def _wait_behind(self, ahead: int) -> int:
+    def _predict_wait_ms(self, ahead: int) -> int:
         if self.active < self.slots:
             return 0
         return int((ahead + 1) * self.service_time_ms / max(1, self.slots))
 
-    def _retry(self, wait_ms: int) -> int:
-        return max(SHORTEST_RETRY_MS, wait_ms)
+    def _retry_after_ms(self, wait_ms: int) -> int:
+        return max(MIN_RETRY_AFTER_MS, wait_ms)
--- a/packages/coordination/src/mimosaspur_coordination/demandcount.py
+++ b/packages/coordination/src/mimosaspur_coordination/demandcounter.py
@@ -6,7 +6,7 @@
 
 from mimosaspur_state.records import ModelDemand
 
-BUCKETS = 5
+BUCKET_COUNT = 5
 
 
 class DemandCounter:
@@ -14,26 +14,26 @@
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
-        self.requests: deque[Counter[str]] = deque([Counter()], maxlen=BUCKETS)
-        self.refusals: deque[Counter[str]] = deque([Counter()], maxlen=BUCKETS)
+        self.requests: deque[Counter[str]] = deque([Counter()], maxlen=BUCKET_COUNT)
+        self.refusals: deque[Counter[str]] = deque([Counter()], maxlen=BUCKET_COUNT)
 
-    def request(self, model: str) -> None:
+    def count_request(self, model: str) -> None:
         """Count a request."""
         with self.lock:
             self.requests[-1][model] += 1
 
-    def refused(self, model: str) -> None:
+    def count_refusal(self, model: str) -> None:
         """Count a request that was refused as not run."""
         with self.lock:
             self.refusals[-1][model] += 1
 
-    def turn(self) -> None:
+    def rotate(self) -> None:
         """Begin a new bucket and forget the oldest."""
         with self.lock:
             self.requests.append(Counter())
             self.refusals.append(Counter())
 
-    def window(self) -> dict[str, ModelDemand]:
+    def totals(self) -> dict[str, ModelDemand]:
         """Return the sums of the models that had any demand."""
         with self.lock:
             requests = sum(self.requests, Counter[str]())
--- a/packages/coordination/src/mimosaspur_coordination/draft.py
+++ b/packages/coordination/src/mimosaspur_coordination/draft.py
@@ -6,10 +6,10 @@
 
 from mimosaspur_coordination.adapterroom import lacks_adapter_room
 from mimosaspur_coordination.adapterroom import missing_adapters
+from mimosaspur_coordination.evictionoptions import EvictionOptions
 from mimosaspur_coordination.layout import Layout
 from mimosaspur_coordination.layout import accelerators_of
 from mimosaspur_coordination.layout import layout_of
-from mimosaspur_coordination.offers import Offer
 from mimosaspur_coordination.packing import Bin
 from mimosaspur_coordination.packing import Need
 from mimosaspur_coordination.view import PlannerView
@@ -47,7 +47,7 @@
         self.loads_left = max(0, view.at_once - loading)
         self.most_free: dict[tuple[int, tuple[str, ...]], int] = {}
         self.layouts: dict[str, Layout] = {}
-        self.offers: dict[str, Offer] = {}
+        self.offers: dict[str, EvictionOptions] = {}
 
     @cached_property
     def bins(self) -> dict[str, Bin]:
--- a/packages/coordination/src/mimosaspur_coordination/offers.py
+++ b/packages/coordination/src/mimosaspur_coordination/evictionoptions.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Offer:
+class EvictionOptions:
     """Hold a target's replicas and its room in stages, each with one more replica given up.
 
     It is the same for all that need room, so one pass works it out once for each target.
@@ -19,7 +19,7 @@
     surplus: list[tuple[str, Replica]]
     stages: list[Bin]
 
-    def enough(self, need: Need) -> int | None:
+    def evictions_needed(self, need: Need) -> int | None:
         """Return how many replicas must be given up for the need, or None if all aren't enough."""
         if not self.stages[-1].fits(need):
             return None
--- a/packages/coordination/src/mimosaspur_coordination/hints.py
+++ b/packages/coordination/src/mimosaspur_coordination/hints.py
@@ -6,7 +6,7 @@
 
 from mimosaspur_state.load import Load
 
-UNREACHABLE_PAUSE_MS = 1000
+UNREACHABLE_COOLDOWN_MS = 1000
 
 
 @dataclass(slots=True)
@@ -16,18 +16,18 @@
     name: str
     address: str
     failure_domain: str
-    own: int = 0
-    own_at_report: int = 0
+    in_flight: int = 0
+    in_flight_at_report: int = 0
     load: Load | None = None
     load_at_ms: int = 0
     draining: bool = False
     leaving: bool = False
     # The hints' order, kept when one is replaced.
-    place: int = 0
+    order: int = 0
     # An open connection goes before the records; what one told that is closed may be older.
-    live: bool = False
-    lost_at_ms: int | None = None
-    on_residents: "Callable[[TargetHint], None] | None" = field(
+    is_connected: bool = False
+    disconnected_at_ms: int | None = None
+    on_residents_changed: "Callable[[TargetHint], None] | None" = field(
         default=None, repr=False, compare=False
     )
     _residents: frozenset[str] = field(default_factory=frozenset, init=False)
@@ -40,40 +40,43 @@
     @residents.setter
     def residents(self, residents: frozenset[str]) -> None:
         self._residents = residents
-        if self.on_residents:
-            self.on_residents(self)
+        if self.on_residents_changed:
+            self.on_residents_changed(self)
 
-    def connected(self, draining: bool, residents: tuple[str, ...]) -> None:
+    def on_connect(self, draining: bool, residents: tuple[str, ...]) -> None:
         """Take in what a target says when a connection opens."""
         self.draining = draining
         self.residents = frozenset(residents)
-        self.live = True
-        self.lost_at_ms = None
+        self.is_connected = True
+        self.disconnected_at_ms = None
 
-    def closed(self) -> None:
+    def on_idle_close(self) -> None:
         """Note that the connection was closed for want of work."""
-        self.live = False
+        self.is_connected = False
 
-    def report(self, load: Load, draining: bool, now_ms: int) -> None:
+    def on_load_report(self, load: Load, draining: bool, now_ms: int) -> None:
         """Take in a load report."""
         self.load = load
         self.load_at_ms = now_ms
         self.draining = draining
-        self.own_at_report = self.own
+        self.in_flight_at_report = self.in_flight
 
-    def lost(self, now_ms: int) -> None:
+    def on_disconnect(self, now_ms: int) -> None:
         """Note that the connection broke or could not be made."""
-        self.live = False
-        self.lost_at_ms = now_ms
+        self.is_connected = False
+        self.disconnected_at_ms = now_ms
         self.draining = False
 
-    def reachable(self, now_ms: int) -> bool:
+    def is_reachable(self, now_ms: int) -> bool:
         """Tell whether it is worth trying now."""
-        return self.lost_at_ms is None or now_ms - self.lost_at_ms > UNREACHABLE_PAUSE_MS
+        return (
+            self.disconnected_at_ms is None
+            or now_ms - self.disconnected_at_ms > UNREACHABLE_COOLDOWN_MS
+        )
 
-    def pressure(self) -> float:
+    def estimated_load(self) -> float:
         """Estimate its load for comparison; requests for each slot, own ones since counted in."""
         if self.load is None:
-            return float(self.own)
-        others = self.load.active + self.load.queued - self.own_at_report
-        return (max(0, others) + self.own) / max(1, self.load.slots)
+            return float(self.in_flight)
+        others = self.load.active + self.load.queued - self.in_flight_at_report
+        return (max(0, others) + self.in_flight) / max(1, self.load.slots)
--- a/packages/coordination/src/mimosaspur_coordination/limits/partlease.py
+++ b/packages/coordination/src/mimosaspur_coordination/limits/sharelease.py
@@ -13,7 +13,7 @@
 
 # An entry may use its part for so long after it was last told.
 LEASE_MS = 3_000
-NEVER = -1_000_000_000
+DISTANT_PAST_MS = -1_000_000_000
 
 
 def reuse_after_ms(window_ms: int) -> int:
@@ -21,34 +21,34 @@
     return window_ms + LEASE_MS
 
 
-class PartLease:
+class ShareLease:
     """Hold what this entry was told of its part."""
 
-    __slots__ = ("clock", "sharers", "since_ms", "told_ms", "wait_ms")
+    __slots__ = ("clock", "sharers", "held_since_ms", "renewed_ms", "activation_delay_ms")
 
     def __init__(self, *, window_ms: int, clock: Clock) -> None:
         # The clock must count the time in which the machine is suspended.
         self.clock = clock
-        self.wait_ms = reuse_after_ms(window_ms)
+        self.activation_delay_ms = reuse_after_ms(window_ms)
         # Entries that the limit is divided by; 0 while the coordinator doesn't know.
         self.sharers = 0
-        self.told_ms = NEVER
+        self.renewed_ms = DISTANT_PAST_MS
         # Since when this entry has been told without a gap longer than the lease.
-        self.since_ms = NEVER
+        self.held_since_ms = DISTANT_PAST_MS
 
-    def tell(self, sharers: int) -> None:
+    def renew(self, sharers: int) -> None:
         """Take what a coordinator tells now."""
         now_ms = self.clock.now_ms()
-        if now_ms - self.told_ms > LEASE_MS:
-            self.since_ms = now_ms
-        self.told_ms = now_ms
+        if now_ms - self.renewed_ms > LEASE_MS:
+            self.held_since_ms = now_ms
+        self.renewed_ms = now_ms
         self.sharers = sharers
 
-    def part(self) -> float:
+    def share(self) -> float:
         """Return this entry's part of the limit, 0 if it may use none now."""
         now_ms = self.clock.now_ms()
-        lapsed = now_ms - self.told_ms > LEASE_MS
-        if lapsed or not self.sharers or now_ms - self.since_ms < self.wait_ms:
+        lapsed = now_ms - self.renewed_ms > LEASE_MS
+        if lapsed or not self.sharers or now_ms - self.held_since_ms < self.activation_delay_ms:
             return 0.0
         return 1.0 / self.sharers
 
@@ -56,38 +56,38 @@
 class SharerCount:
     """Count the entries that may use a part, at the coordinator."""
 
-    __slots__ = ("clock", "ended", "keep_ms", "lost_ms", "present", "settled_ms")
+    __slots__ = ("clock", "stopped", "retention_ms", "lost_ms", "connected", "starts_at_ms")
 
     def __init__(self, *, window_ms: int, predecessor_ended_ms: int, clock: Clock) -> None:
         self.clock = clock
-        self.keep_ms = reuse_after_ms(window_ms)
+        self.retention_ms = reuse_after_ms(window_ms)
         # From then on nobody uses a part that a predecessor told of.
-        self.settled_ms = predecessor_ended_ms + self.keep_ms
-        self.ended = False
-        self.present: set[str] = set()
+        self.starts_at_ms = predecessor_ended_ms + self.retention_ms
+        self.stopped = False
+        self.connected: set[str] = set()
         # When entries were lost.
         self.lost_ms: dict[str, int] = {}
 
-    def joined(self, instance: str) -> None:
+    def on_connect(self, instance: str) -> None:
         """Count an entry that follows from now on."""
-        self.present.add(instance)
+        self.connected.add(instance)
         self.lost_ms.pop(instance, None)
 
-    def lost(self, instance: str) -> None:
+    def on_disconnect(self, instance: str) -> None:
         """Take note that an entry isn't told any more."""
-        self.present.discard(instance)
+        self.connected.discard(instance)
         self.lost_ms[instance] = self.clock.now_ms()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Give out no more parts."""
-        self.ended = True
+        self.stopped = True
 
-    def sharers(self) -> int:
+    def sharer_count(self) -> int:
         """Return by how many entries the limit is divided, 0 while that isn't known."""
         now_ms = self.clock.now_ms()
-        if self.ended or now_ms < self.settled_ms:
+        if self.stopped or now_ms < self.starts_at_ms:
             return 0
         for instance, lost_ms in list(self.lost_ms.items()):
-            if now_ms - lost_ms > self.keep_ms:
+            if now_ms - lost_ms > self.retention_ms:
                 del self.lost_ms[instance]
-        return len(self.present) + len(self.lost_ms)
+        return len(self.connected) + len(self.lost_ms)
--- a/packages/coordination/src/mimosaspur_coordination/quota/fading.py
+++ b/packages/coordination/src/mimosaspur_coordination/quota/decayingrate.py
@@ -3,10 +3,10 @@
 import math
 
 # A workspace's callers come and go within seconds; a shorter time would follow single requests.
-FADE_MS = 2_000
+TIME_CONSTANT_MS = 2_000
 
 
-class FadingRate:
+class DecayingRate:
     """Hold an amount a second, in which what is older counts for less."""
 
     __slots__ = ("at_ms", "per_s")
@@ -17,7 +17,7 @@
 
     def add(self, amount: float, now_ms: int) -> None:
         """Count an amount."""
-        self.per_s = self.at(now_ms) + amount * 1000 / FADE_MS
+        self.per_s = self.at(now_ms) + amount * 1000 / TIME_CONSTANT_MS
         self.at_ms = now_ms
 
     def add_rate(self, per_s: float, now_ms: int) -> None:
@@ -27,4 +27,4 @@
 
     def at(self, now_ms: int) -> float:
         """Return the rate at a time."""
-        return self.per_s * math.exp((self.at_ms - now_ms) / FADE_MS)
+        return self.per_s * math.exp((self.at_ms - now_ms) / TIME_CONSTANT_MS)
--- a/packages/coordination/src/mimosaspur_coordination/quota/limiter.py
+++ b/packages/coordination/src/mimosaspur_coordination/quota/limiter.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from mimosaspur_coordination.quota.account import Account
-from mimosaspur_coordination.quota.bounds import capacity_of
-from mimosaspur_coordination.quota.bounds import may_pass
+from mimosaspur_coordination.quota.account import QuotaAccount
+from mimosaspur_coordination.quota.bounds import bucket_capacity
+from mimosaspur_coordination.quota.bounds import max_overage
 from mimosaspur_coordination.quota.bounds import refill_per_s
-from mimosaspur_coordination.quota.level import Level
+from mimosaspur_coordination.quota.quotabucket import QuotaBucket
 from mimosaspur_coordination.quota.spending import Remaining
 from mimosaspur_coordination.quota.spending import Spending
 from mimosaspur_state.clock import Clock
@@ -17,20 +17,20 @@
 from mimosaspur_state.workspaces import Workspace
 
 # Nobody having told for so long, each entry keeps to a share of its own.
-FRESH_MS = 1_000
+MAX_UPDATE_AGE_MS = 1_000
 # Several entries may spend the same rest of a quota between two news. Where callers ask for more
 # than this part of what a quota may be passed by meanwhile, each entry keeps to its share.
-PASSED_PART = 0.4
+MAX_UNREPORTED_SHARE = 0.4
 # An entry that isn't told any more may let one request of a workspace in ahead of its share, so
 # soon after the last news, or later with the chance that keeps all entries' such requests within
 # this part of what a quota may be passed by.
-ADVANCE_MS = 3_000
-ADVANCE_PART = 0.5
+OVERDRAFT_WINDOW_MS = 3_000
+OVERDRAFT_SHARE = 0.5
 # News is expected so often, until it has come some times.
-FIRST_NEWS_MS = 200.0
-NEWEST_NEWS = 0.1
-NEVER = -1_000_000_000
-ADMITTED_MS = 0
+INITIAL_UPDATE_INTERVAL_MS = 200.0
+UPDATE_INTERVAL_WEIGHT = 0.1
+DISTANT_PAST_MS = -1_000_000_000
+NO_WAIT_MS = 0
 
 
 class QuotaUnknown(Exception):
@@ -60,24 +60,32 @@
     each, and together the entries let in as much as their shares come to.
     """
 
-    __slots__ = ("accounts", "bounds", "chance", "clock", "entries", "news_ms", "told_ms")
+    __slots__ = (
+        "accounts",
+        "bounds",
+        "random",
+        "clock",
+        "entries",
+        "update_interval_ms",
+        "last_update_ms",
+    )
 
     def __init__(
         self,
         bounds: QuotaBounds,
         *,
         clock: Clock,
-        chance: Callable[[], float] = random.random,
+        random_source: Callable[[], float] = random.random,
     ) -> None:
         self.bounds = bounds
         self.clock = clock
-        self.chance = chance
-        self.accounts: dict[str, Account] = {}
+        self.random = random_source
+        self.accounts: dict[str, QuotaAccount] = {}
         self.entries = 1
         # When the coordinator last told anything.
-        self.told_ms = NEVER
+        self.last_update_ms = DISTANT_PAST_MS
         # How often it does, at the mean.
-        self.news_ms = FIRST_NEWS_MS
+        self.update_interval_ms = INITIAL_UPDATE_INTERVAL_MS
 
     def configure(self, workspaces: Iterable[Workspace]) -> None:
         """Take the quotas of a new configuration; what was spent stays spent."""
@@ -90,11 +98,11 @@
                 continue
             account = old.get(workspace.name)
             if account is None:
-                account = Account(quota, self.bounds, now_ms)
+                account = QuotaAccount(quota, self.bounds, now_ms)
             elif account.quota != quota:
                 account.quota = quota
-                account.alone = None
-                capacity = capacity_of(quota, self.bounds)
+                account.fallback = None
+                capacity = bucket_capacity(quota, self.bounds)
                 per_s = refill_per_s(quota, self.bounds)
                 account.shared.resize(capacity=capacity, per_s=per_s, now_ms=now_ms)
             self.accounts[workspace.name] = account
@@ -106,146 +114,150 @@
         """
         account = self.accounts.get(workspace)
         if account is None:
-            return ADMITTED_MS
-        if not self.was_told():
+            return NO_WAIT_MS
+        if not self.has_update():
             raise QuotaUnknown
         now_ms = self.clock.now_ms()
-        account.ask(cost, now_ms)
+        account.record_demand(cost, now_ms)
         if self._covers(account, cost, now_ms):
             self._spend(account, cost, now_ms)
-            return ADMITTED_MS
+            return NO_WAIT_MS
         account.refused += cost
-        return self._promise(account, cost, now_ms)
+        return self._schedule_retry(account, cost, now_ms)
 
-    def give_back(self, workspace: str, cost: float) -> None:
+    def refund(self, workspace: str, cost: float) -> None:
         """Return the cost of a request that has surely not run."""
         account = self.accounts.get(workspace)
         if account:
             self._spend(account, -cost, self.clock.now_ms())
 
-    def report(self, number: int) -> list[Spending]:
+    def take_report(self, number: int) -> list[Spending]:
         """Return what was spent and refused since the last report; keep it under a number."""
         spendings = []
         for name, account in self.accounts.items():
-            account.reports.append((number, account.spent))
-            spent = account.spent - account.told_spent
-            refused = account.refused - account.told_refused
+            account.uncounted_reports.append((number, account.spent))
+            spent = account.spent - account.reported_spent
+            refused = account.refused - account.reported_refused
             if spent or refused:
                 spendings.append(Spending(name, spent, refused))
-                account.told_spent, account.told_refused = account.spent, account.refused
+                account.reported_spent, account.reported_refused = account.spent, account.refused
         return spendings
 
-    def count(self, number: int) -> None:
+    def acknowledge(self, number: int) -> None:
         """Take note that what is told next counts in a report."""
         for account in self.accounts.values():
-            while account.reports and account.reports[0][0] <= number:
-                account.counted = account.reports.popleft()[1]
+            while account.uncounted_reports and account.uncounted_reports[0][0] <= number:
+                account.counted_spent = account.uncounted_reports.popleft()[1]
 
-    def hear(self, remaining: Iterable[Remaining], *, entries: int) -> None:
+    def apply_update(self, remaining: Iterable[Remaining], *, entries: int) -> None:
         """Take the coordinator's news; what it doesn't name refills as it was expected to."""
         now_ms = self.clock.now_ms()
-        if now_ms - self.told_ms > FRESH_MS:
+        if now_ms - self.last_update_ms > MAX_UPDATE_AGE_MS:
             for known in self.accounts.values():
-                known.alone = None
+                known.fallback = None
         else:
-            self.news_ms += (now_ms - self.told_ms - self.news_ms) * NEWEST_NEWS
-        self.told_ms = now_ms
+            self.update_interval_ms += (
+                now_ms - self.last_update_ms - self.update_interval_ms
+            ) * UPDATE_INTERVAL_WEIGHT
+        self.last_update_ms = now_ms
         self.entries = max(1, entries)
         for each in remaining:
             account = self.accounts.get(each.workspace)
             if account:
                 account.shared.content = min(account.shared.capacity, each.content)
                 account.shared.at_ms = now_ms
-                account.asked_by_all = each.asked_per_s
-                account.asked_here = account.asked.at(now_ms)
+                account.total_demand_per_s = each.asked_per_s
+                account.own_demand_per_s = account.demand.at(now_ms)
 
-    def was_told(self) -> bool:
+    def has_update(self) -> bool:
         """Tell whether a coordinator ever told this entry anything."""
-        return self.told_ms != NEVER
+        return self.last_update_ms != DISTANT_PAST_MS
 
-    def coordinator_lost(self) -> None:
+    def on_coordinator_lost(self) -> None:
         """Have the next coordinator hear all that the last one didn't count."""
         for account in self.accounts.values():
-            account.told_spent = account.counted
-            account.reports.clear()
+            account.reported_spent = account.counted_spent
+            account.uncounted_reports.clear()
 
     def state(self, workspace: str) -> QuotaState:
         """Return what decides about the workspace's next request."""
         account = self.accounts[workspace]
         now_ms = self.clock.now_ms()
         return QuotaState(
-            left=round(self._left(account, now_ms)),
+            left=round(self._available(account, now_ms)),
             share=round(account.share(self.entries), 3),
-            asked_per_s=round(account.asked_by_all),
+            asked_per_s=round(account.total_demand_per_s),
             per_s=round(account.shared.per_s),
-            news_age_ms=now_ms - self.told_ms if self.was_told() else None,
+            news_age_ms=now_ms - self.last_update_ms if self.has_update() else None,
         )
 
-    def _covers(self, account: Account, cost: float, now_ms: int) -> bool:
+    def _covers(self, account: QuotaAccount, cost: float, now_ms: int) -> bool:
         needed = min(cost, account.shared.capacity)
-        left = self._left(account, now_ms)
+        left = self._available(account, now_ms)
         if left >= needed:
             return True
-        alone = account.alone is not None
-        if alone and account.advance:
-            account.advance = False
+        alone = account.fallback is not None
+        if alone and account.may_overdraw:
+            account.may_overdraw = False
             return True
-        if (not alone and not self._crowded(account, now_ms)) or left < needed * account.rounding:
+        if (
+            not alone and not self._may_overshoot(account, now_ms)
+        ) or left < needed * account.rounding_threshold:
             return False
-        account.rounding = self.chance()
+        account.rounding_threshold = self.random()
         return True
 
-    def _left(self, account: Account, now_ms: int) -> float:
+    def _available(self, account: QuotaAccount, now_ms: int) -> float:
         """Return what this entry may spend now."""
-        if now_ms - self.told_ms > FRESH_MS:
-            return self._alone(account, now_ms).at(now_ms)
+        if now_ms - self.last_update_ms > MAX_UPDATE_AGE_MS:
+            return self._fallback_bucket(account, now_ms).at(now_ms)
         content = account.shared.at(now_ms)
-        if content > 0 and self._crowded(account, now_ms):
+        if content > 0 and self._may_overshoot(account, now_ms):
             content *= account.share(self.entries)
-        return content - account.uncounted()
+        return content - account.uncounted_spent()
 
-    def _crowded(self, account: Account, now_ms: int) -> bool:
+    def _may_overshoot(self, account: QuotaAccount, now_ms: int) -> bool:
         """Tell whether too much could be spent before the entries hear of it."""
-        unheard_ms = max(self.news_ms, now_ms - self.told_ms)
-        meanwhile = account.asked_by_all * unheard_ms / 1000
-        return meanwhile > PASSED_PART * may_pass(account.quota, self.bounds)
+        unheard_ms = max(self.update_interval_ms, now_ms - self.last_update_ms)
+        meanwhile = account.total_demand_per_s * unheard_ms / 1000
+        return meanwhile > MAX_UNREPORTED_SHARE * max_overage(account.quota, self.bounds)
 
-    def _alone(self, account: Account, now_ms: int) -> Level:
+    def _fallback_bucket(self, account: QuotaAccount, now_ms: int) -> QuotaBucket:
         """Return this entry's own share, which begins when nobody tells any more."""
-        if account.alone is None:
+        if account.fallback is None:
             share = account.share(self.entries)
-            content = max(0.0, account.shared.at(now_ms)) * share - account.uncounted()
-            account.advance = self._advances(account, now_ms)
-            account.rounding = self.chance()
-            account.alone = Level(
+            content = max(0.0, account.shared.at(now_ms)) * share - account.uncounted_spent()
+            account.may_overdraw = self._may_overdraw(account, now_ms)
+            account.rounding_threshold = self.random()
+            account.fallback = QuotaBucket(
                 capacity=account.shared.capacity * share,
                 per_s=account.shared.per_s * share,
                 content=content,
                 at_ms=now_ms,
             )
-        return account.alone
+        return account.fallback
 
-    def _advances(self, account: Account, now_ms: int) -> bool:
+    def _may_overdraw(self, account: QuotaAccount, now_ms: int) -> bool:
         """Tell whether one request may go ahead of a share that is less than any one request."""
-        if not self.was_told() or not account.calm(self.told_ms):
+        if not self.has_update() or not account.is_below_quota(self.last_update_ms):
             return False
-        if now_ms - self.told_ms <= ADVANCE_MS:
+        if now_ms - self.last_update_ms <= OVERDRAFT_WINDOW_MS:
             return True
-        room = ADVANCE_PART * may_pass(account.quota, self.bounds)
-        return self.chance() * self.entries * account.cost < room
+        room = OVERDRAFT_SHARE * max_overage(account.quota, self.bounds)
+        return self.random() * self.entries * account.mean_cost < room
 
-    def _spend(self, account: Account, cost: float, now_ms: int) -> None:
+    def _spend(self, account: QuotaAccount, cost: float, now_ms: int) -> None:
         account.spent += cost
-        if account.alone is not None:
-            account.alone.take(cost, now_ms)
+        if account.fallback is not None:
+            account.fallback.take(cost, now_ms)
 
-    def _promise(self, account: Account, cost: float, now_ms: int) -> int:
+    def _schedule_retry(self, account: QuotaAccount, cost: float, now_ms: int) -> int:
         """Return when a refused request may come back: after those that were refused before it."""
-        while account.promised and account.promised[0][0] <= now_ms:
-            account.promised.popleft()
-        ahead = sum(promised for _, promised in account.promised)
+        while account.scheduled_retries and account.scheduled_retries[0][0] <= now_ms:
+            account.scheduled_retries.popleft()
+        ahead = sum(promised for _, promised in account.scheduled_retries)
         per_s = account.shared.per_s * account.share(self.entries)
-        missing = max(0.0, cost - self._left(account, now_ms))
+        missing = max(0.0, cost - self._available(account, now_ms))
         wait_ms = max(1.0, (missing + ahead) * 1000 / per_s)
-        account.promised.append((now_ms + wait_ms, cost))
+        account.scheduled_retries.append((now_ms + wait_ms, cost))
         return round(wait_ms) or 1
--- a/packages/coordination/src/mimosaspur_coordination/quota/level.py
+++ b/packages/coordination/src/mimosaspur_coordination/quota/quotabucket.py
@@ -1,7 +1,7 @@
 """Hold what is left of a quota, which refills with time."""
 
 
-class Level:
+class QuotaBucket:
     """Be a token bucket's content; it may be overdrawn, and then refills from below zero."""
 
     __slots__ = ("at_ms", "capacity", "content", "per_s")
--- a/packages/coordination/src/mimosaspur_coordination/retry.py
+++ b/packages/coordination/src/mimosaspur_coordination/retrybudget.py
@@ -14,12 +14,12 @@
         self.tokens = float(burst)
         self.lock = threading.Lock()
 
-    def earn(self) -> None:
+    def record_request(self) -> None:
         """Count a caller's request."""
         with self.lock:
             self.tokens = min(self.burst, self.tokens + self.ratio)
 
-    def spend(self) -> bool:
+    def try_spend(self) -> bool:
         """Take one retry if the budget has it."""
         with self.lock:
             if self.tokens < 1:
--- a/packages/coordination/src/mimosaspur_coordination/room.py
+++ b/packages/coordination/src/mimosaspur_coordination/room.py
@@ -4,7 +4,7 @@
 from dataclasses import field
 
 from mimosaspur_coordination.draft import Draft
-from mimosaspur_coordination.offers import Offer
+from mimosaspur_coordination.evictionoptions import EvictionOptions
 from mimosaspur_coordination.packing import Bin
 from mimosaspur_coordination.packing import Need
 from mimosaspur_state.bundle import ModelEntry
@@ -62,7 +62,7 @@
 
     def by_surplus(self) -> bool:
         """Try with what leaves anyway and replicas that aren't needed."""
-        count = self.offer.enough(self.need)
+        count = self.offer.evictions_needed(self.need)
         self.way.surplus = self.offer.surplus[:count]
         return count is not None
 
@@ -103,19 +103,19 @@
         return best.target
 
 
-def _offer(draft: Draft, room: Bin) -> Offer:
+def _offer(draft: Draft, room: Bin) -> EvictionOptions:
     if room.target not in draft.offers:
         draft.offers[room.target] = _work_out(draft, room)
     return draft.offers[room.target]
 
 
-def _work_out(draft: Draft, room: Bin) -> Offer:
+def _work_out(draft: Draft, room: Bin) -> EvictionOptions:
     residents = _residents(draft, room.target)
     trial = room.copy()
     for held, replica in residents:
         if replica.state is ReplicaState.LEAVING:
             _give_back(draft, trial, held, replica)
-    offer = Offer(residents, [], [trial])
+    offer = EvictionOptions(residents, [], [trial])
     for held, replica in residents:
         if _spare(draft, held, replica):
             trial = trial.copy()
--- a/packages/coordination/src/mimosaspur_coordination/routing.py
+++ b/packages/coordination/src/mimosaspur_coordination/routing.py
@@ -32,40 +32,42 @@
     current: list[Candidate] = []
     older: list[Candidate] = []
     for hint in hints.values():
-        resident = _held(served, record, hint)
+        resident = _held_resident(served, record, hint)
         if resident == wanted:
             current.append(Candidate(hint, resident))
         elif resident:
             older.append(Candidate(hint, resident))
-    return current or _newest(older, _placed(served, record))
+    return current or _newest_only(older, _placed_residents(served, record))
 
 
-def _held(served: Served, record: PlacementRecord | None, hint: TargetHint) -> str | None:
+def _held_resident(served: Served, record: PlacementRecord | None, hint: TargetHint) -> str | None:
     wanted = served.resident()
     if wanted in hint.residents:
         return wanted
-    placed = _placed(served, record, hint.name)
+    placed = _placed_residents(served, record, hint.name)
     # What a connected target says goes before the record; what it said earlier may be older.
-    if wanted in placed and not (hint.residents and hint.live):
+    if wanted in placed and not (hint.residents and hint.is_connected):
         return wanted
     prefix = wanted.rpartition("@")[0] + "@"
     said = [name for name in hint.residents if name.startswith(prefix)]
     if hint.residents:
-        return max(said, key=lambda name: _rank(name, placed), default=None)
+        return max(said, key=lambda name: _version_order(name, placed), default=None)
     return placed[-1] if placed else None
 
 
-def _newest(older: list[Candidate], placed: list[str]) -> list[Candidate]:
+def _newest_only(older: list[Candidate], placed: list[str]) -> list[Candidate]:
     # Two old versions may both be ready when rolls follow each other closely.
-    rank = max((_rank(candidate.resident, placed) for candidate in older), default=0)
-    return [candidate for candidate in older if _rank(candidate.resident, placed) == rank]
+    rank = max((_version_order(candidate.resident, placed) for candidate in older), default=0)
+    return [candidate for candidate in older if _version_order(candidate.resident, placed) == rank]
 
 
-def _rank(resident: str, placed: list[str]) -> int:
+def _version_order(resident: str, placed: list[str]) -> int:
     return placed.index(resident) if resident in placed else -1
 
 
-def _placed(served: Served, record: PlacementRecord | None, target: str = "") -> list[str]:
+def _placed_residents(
+    served: Served, record: PlacementRecord | None, target: str = ""
+) -> list[str]:
     """Return the residents by a record, of one target or all, the newest last.
 
     A replica that becomes ready is put last in its record, and one that leaves is replaced.
@@ -107,7 +109,7 @@
             for candidate in candidates
             if candidate.hint.name not in tried and not candidate.hint.draining
         ]
-        reachable = [candidate for candidate in left if candidate.hint.reachable(now_ms)]
+        reachable = [candidate for candidate in left if candidate.hint.is_reachable(now_ms)]
         left = reachable or left
         # The instance list lags, so "leaving" only matters where there is a choice.
         staying = [candidate for candidate in left if not candidate.hint.leaving]
@@ -116,17 +118,17 @@
             return None
         if self.naive:
             return self.random.choice(left)
-        return self._better(left, prefix)
+        return self._least_loaded(left, prefix)
 
-    def _better(self, left: list[Candidate], prefix: str) -> Candidate:
+    def _least_loaded(self, left: list[Candidate], prefix: str) -> Candidate:
         pair = self.random.sample(left, min(2, len(left)))
-        home = max(left, key=lambda candidate: _affinity(prefix, candidate.hint.name))
+        home = max(left, key=lambda candidate: _rendezvous_weight(prefix, candidate.hint.name))
         if prefix and home not in pair:
             pair.append(home)
         return min(pair, key=lambda candidate: self._cost(candidate, home, prefix))
 
     def _cost(self, candidate: Candidate, home: Candidate, prefix: str) -> float:
-        cost = candidate.hint.pressure()
+        cost = candidate.hint.estimated_load()
         if prefix and candidate is home:
             cost -= PREFIX_BONUS
         if candidate.hint.failure_domain == self.failure_domain:
@@ -134,6 +136,6 @@
         return cost
 
 
-def _affinity(prefix: str, target: str) -> int:
+def _rendezvous_weight(prefix: str, target: str) -> int:
     """Rank targets for a prefix by rendezvous hashing, the same at every entry."""
     return xxhash.xxh64_intdigest(f"{prefix}\0{target}".encode())
--- a/packages/coordination/src/mimosaspur_coordination/targetchoice.py
+++ b/packages/coordination/src/mimosaspur_coordination/targetchoice.py
@@ -8,22 +8,22 @@
 from mimosaspur_coordination.fleetview import TargetView
 
 # What crossing to another failure domain counts as, since its bytes cost more than its delay.
-OTHER_DOMAIN_MS = 15.0
+CROSS_DOMAIN_PENALTY_MS = 15.0
 # A target that fails all requests counts as this much slower.
-FAILING_MS = 1_500.0
+FAILURE_PENALTY_MS = 1_500.0
 # While more than this share of the targets is avoided, the symptom is taken for a shared one.
-PANIC_SHARE = 0.6
+PANIC_THRESHOLD_SHARE = 0.6
 # Beyond this part of an engine's memory for running requests, a request would wait for room.
-FULL_PART = 0.92
-FULL_MS = 400.0
+MAX_KV_CACHE_SHARE = 0.92
+FULL_KV_CACHE_PENALTY_MS = 400.0
 # A plain service's mean service time is seldom known; only the order of the targets matters.
-PLAIN_REQUEST_MS = 100.0
+PLAIN_SERVICE_TIME_MS = 100.0
 
 
-def sound(views: Sequence[TargetView]) -> list[TargetView]:
+def preferred_targets(views: Sequence[TargetView]) -> list[TargetView]:
     """Leave out the targets that are avoided, unless that would be most of them."""
-    good = [view for view in views if not view.health.avoided()]
-    if len(views) - len(good) > PANIC_SHARE * len(views):
+    good = [view for view in views if not view.health.is_avoided()]
+    if len(views) - len(good) > PANIC_THRESHOLD_SHARE * len(views):
         return list(views)
     return good or list(views)
 
@@ -34,28 +34,32 @@
     """Return the engine with the earliest first token."""
 
     def cost(view: TargetView) -> float:
-        held = view.own.held_tokens + view.others.held_tokens
+        held = view.own_work.held_tokens + view.others_work.held_tokens
         needed = held + prompt.prompt_tokens + prompt.output_tokens
-        full = FULL_MS if kv_tokens and needed > FULL_PART * kv_tokens else 0.0
+        full = (
+            FULL_KV_CACHE_PENALTY_MS
+            if kv_tokens and needed > MAX_KV_CACHE_SHARE * kv_tokens
+            else 0.0
+        )
         return view.first_token_ms(prompt, rank=rank) + full + _common_cost(view, domain)
 
-    return _cheapest(sound(views), cost)
+    return _cheapest(preferred_targets(views), cost)
 
 
-def choose_plain(views: Sequence[TargetView], *, domain: str) -> TargetView | None:
+def choose_plain_target(views: Sequence[TargetView], *, domain: str) -> TargetView | None:
     """Return the plain target with the fewest requests for its slots."""
 
     def cost(view: TargetView) -> float:
-        busy = view.own.requests + view.others.requests
+        busy = view.own_work.requests + view.others_work.requests
         slots = max(1, view.record.slots)
-        return busy * PLAIN_REQUEST_MS / slots + _common_cost(view, domain)
+        return busy * PLAIN_SERVICE_TIME_MS / slots + _common_cost(view, domain)
 
-    return _cheapest(sound(views), cost)
+    return _cheapest(preferred_targets(views), cost)
 
 
 def _common_cost(view: TargetView, domain: str) -> float:
-    crossing = OTHER_DOMAIN_MS if view.record.failure_domain != domain else 0.0
-    return crossing + view.health.failing_share() * FAILING_MS
+    crossing = CROSS_DOMAIN_PENALTY_MS if view.record.failure_domain != domain else 0.0
+    return crossing + view.health.failure_share() * FAILURE_PENALTY_MS
 
 
 def _cheapest(
--- a/packages/coordination/src/mimosaspur_coordination/directory.py
+++ b/packages/coordination/src/mimosaspur_coordination/targetdirectory.py
@@ -8,9 +8,9 @@
 
 from mimosaspur_coordination.decoded import RecordCache
 from mimosaspur_coordination.hints import TargetHint
-from mimosaspur_coordination.holders import Holders
-from mimosaspur_coordination.holders import name_of
 from mimosaspur_coordination.mirror import Mirror
+from mimosaspur_coordination.residentindex import ResidentIndex
+from mimosaspur_coordination.residentindex import resident_name
 from mimosaspur_coordination.routing import Candidate
 from mimosaspur_coordination.routing import candidates_for
 from mimosaspur_state import keys
@@ -23,7 +23,7 @@
 TARGET_ROLE = "target"
 
 
-class Directory:
+class TargetDirectory:
     """Join the instance list, the placement records and what targets say themselves."""
 
     def __init__(self, mirror: Mirror, *, region: str) -> None:
@@ -31,9 +31,9 @@
         self.region = region
         self.records = RecordCache(mirror)
         self.hints: dict[str, TargetHint] = {}
-        self.places = itertools.count()
-        self.holders = Holders()
-        self.unknown: set[str] = set()
+        self.order_counter = itertools.count()
+        self.resident_index = ResidentIndex()
+        self.unlisted: set[str] = set()
         self.listed_leaving: set[str] = set()
         self.lock = threading.Lock()
 
@@ -53,18 +53,18 @@
                     hint = self._new_hint(instance, hint)
                     new.append(hint)
             self.listed_leaving = {instance.name for instance in instances if instance.leaving}
-            self._drop_gone({instance.name for instance in instances})
-            self.unknown -= self.hints.keys()
+            self._remove_unlisted({instance.name for instance in instances})
+            self.unlisted -= self.hints.keys()
             self._mark_leaving()
         return new
 
-    def follow_drains(self, item: StoredObject) -> None:
+    def on_drain_change(self, item: StoredObject) -> None:
         """Take in a change of an operator's order to leave, long before the list shows it."""
         if item.key.startswith(keys.DRAINS):
             with self.lock:
                 self._mark_leaving()
 
-    def follow_records(self, item: StoredObject) -> bool:
+    def on_placement_change(self, item: StoredObject) -> bool:
         """Take in a record's change; tell whether it names a target that is new to us."""
         ours = (keys.placements(self.region), keys.carriers(self.region))
         if item.value is None or not item.key.startswith(ours):
@@ -75,26 +75,26 @@
             # The mirror must go on; who needs this record is told.
             return False
         with self.lock:
-            new = {it.target for it in record.replicas} - self.hints.keys() - self.unknown
-            self.unknown |= new
+            new = {it.target for it in record.replicas} - self.hints.keys() - self.unlisted
+            self.unlisted |= new
         return bool(new)
 
-    def sought(self) -> frozenset[str]:
+    def unresolved_targets(self) -> frozenset[str]:
         """Return the targets that the instance list may tell more of: unknown and lost ones."""
-        lost = {name for name, hint in self.hints.items() if hint.lost_at_ms is not None}
+        lost = {name for name, hint in self.hints.items() if hint.disconnected_at_ms is not None}
         with self.lock:
-            return frozenset(lost | self.unknown)
+            return frozenset(lost | self.unlisted)
 
-    def give_up(self, names: Iterable[str]) -> None:
+    def stop_resolving(self, names: Iterable[str]) -> None:
         """Seek targets no more until a record names them again."""
         with self.lock:
-            self.unknown.difference_update(names)
+            self.unlisted.difference_update(names)
 
     def for_model(self, served: Served) -> list[Candidate]:
         """Return the targets that may hold a served model or adapter."""
         record = self.record(keys.placement(self.region, served.model.name))
         placed = {replica.target for replica in record.replicas} if record else set()
-        return candidates_for(served, record, self._among(placed, served.resident()))
+        return candidates_for(served, record, self._hints_for(placed, served.resident()))
 
     def for_service(self, name: str) -> list[Candidate]:
         """Return the targets that carry a plain service."""
@@ -103,7 +103,7 @@
         resident = service_resident(name)
         return [
             Candidate(hint, resident)
-            for hint in self._among(carrying, resident).values()
+            for hint in self._hints_for(carrying, resident).values()
             if hint.name in carrying or resident in hint.residents
         ]
 
@@ -111,12 +111,12 @@
         """Return the local copy of a placement record."""
         return self.records.get(key)
 
-    def _among(self, named: set[str], resident: str) -> dict[str, TargetHint]:
+    def _hints_for(self, named: set[str], resident: str) -> dict[str, TargetHint]:
         """Return the hints of named targets and of holders of any version, in the list's order."""
         hints = self.hints
-        names = named | self.holders.of(name_of(resident))
+        names = named | self.resident_index.targets_holding(resident_name(resident))
         found = sorted(
-            (hints[name] for name in names if name in hints), key=lambda hint: hint.place
+            (hints[name] for name in names if name in hints), key=lambda hint: hint.order
         )
         return {hint.name: hint for hint in found}
 
@@ -125,24 +125,26 @@
             instance.name,
             instance.address,
             instance.failure_domain,
-            place=former.place if former else next(self.places),
-            on_residents=self._said,
+            order=former.order if former else next(self.order_counter),
+            on_residents_changed=self._on_residents_changed,
         )
-        self.holders.forget(instance.name)
+        self.resident_index.remove(instance.name)
         self.hints = {**self.hints, instance.name: hint}
         return hint
 
-    def _drop_gone(self, listed: set[str]) -> None:
-        gone = [name for name, hint in self.hints.items() if name not in listed and hint.own <= 0]
+    def _remove_unlisted(self, listed: set[str]) -> None:
+        gone = [
+            name for name, hint in self.hints.items() if name not in listed and hint.in_flight <= 0
+        ]
         for name in gone:
-            self.holders.forget(name)
+            self.resident_index.remove(name)
         self.hints = {name: hint for name, hint in self.hints.items() if name not in gone}
 
-    def _said(self, hint: TargetHint) -> None:
+    def _on_residents_changed(self, hint: TargetHint) -> None:
         with self.lock:
             # A connection to a former address may still end its last message.
             if self.hints.get(hint.name) is hint:
-                self.holders.note(hint.name, hint.residents)
+                self.resident_index.update(hint.name, hint.residents)
 
     def _mark_leaving(self) -> None:
         for name, hint in self.hints.items():
--- a/packages/daemon/src/mimosaspur_daemon/behind.py
+++ b/packages/daemon/src/mimosaspur_daemon/behind.py
@@ -5,9 +5,9 @@
 from typing import Protocol
 
 from mimosaspur_coordination.carriers import Carriers
-from mimosaspur_coordination.directory import service_resident
 from mimosaspur_coordination.generation import BundleHolder
 from mimosaspur_coordination.mirror import Mirror
+from mimosaspur_coordination.targetdirectory import service_resident
 from mimosaspur_daemon.engine_keeper import EngineKeeper
 from mimosaspur_daemon.engine_situation import ServingSide
 from mimosaspur_daemon.runners import EngineRunner
--- a/packages/daemon/src/mimosaspur_daemon/direct/attempt.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/attempt.py
@@ -87,7 +87,7 @@
         self.moving: asyncio.Future[MovedRun | None] | None = None
         self.rank = journey.targeting.rank
         self.predicted_ms = view.first_token_ms(journey.prompt, rank=self.rank)
-        self.unread = view.begin(journey.prompt, rank=self.rank)
+        self.unread = view.on_sent(journey.prompt, rank=self.rank)
         self.sent_s = asyncio.get_running_loop().time()
         self.first_token = False
         self.first_token_s = 0.0
@@ -97,8 +97,8 @@
     def end(self) -> None:
         """Count the request out of the target's work."""
         if not self.first_token:
-            self.view.read(unread=self.unread, rank=self.rank)
-        self.view.end(self.journey.prompt)
+            self.view.on_prefill_end(unread=self.unread, rank=self.rank)
+        self.view.on_end(self.journey.prompt)
         self.ended = True
 
     async def move(self, to: TargetView) -> bool:
@@ -149,13 +149,13 @@
             if await self._was_moved():
                 return Result.MOVED
             journey.cause = str(error)
-            self.view.health.failed()
+            self.view.health.record_failure()
             return Result.BROKEN
         except TimeoutError:
             if asyncio.get_running_loop().time() >= journey.deadline_s:
                 raise
             journey.cause = "silent for too long"
-            self.view.health.failed()
+            self.view.health.record_failure()
             self.channel.close()
             return Result.BROKEN
 
@@ -209,10 +209,10 @@
         if head.status < 400 and not self._genuine(head):
             raise ChannelBroken("the answer is not the target's")
         if head.status >= 500:
-            self.view.health.failed()
+            self.view.health.record_failure()
             journey.failure = (head, body)
             return Result.FAILED
-        self.view.health.succeeded()
+        self.view.health.record_success()
         if journey.started:
             raise ChannelBroken("a resumed stream was answered otherwise")
         await journey.pass_on(head, body)
@@ -243,10 +243,10 @@
         if journey.cutter.begun:
             await journey.caller.send(journey.cutter.begun)
         await journey.caller.finish()
-        self.view.health.succeeded()
+        self.view.health.record_success()
         lasted_ms = (asyncio.get_running_loop().time() - self.first_token_s) * 1000
         if self.first_token:
-            self.view.lasted(lasted_ms)
+            self.view.record_stream(lasted_ms)
         journey.note_duration(self.first_token_s or self.sent_s)
         return Result.DONE
 
@@ -274,11 +274,11 @@
         now_s = self.first_token_s = asyncio.get_running_loop().time()
         self.journey.first_ms = round((now_s - self.journey.request.arrived_s) * 1000)
         took_ms = (now_s - self.sent_s) * 1000
-        self.view.read(unread=self.unread, rank=self.rank)
+        self.view.on_prefill_end(unread=self.unread, rank=self.rank)
         journey = self.journey
         if self.rank != LATE_RANK:
             # How long what is late waits depends on what comes after it.
-            self.view.first_token(
+            self.view.on_first_token(
                 journey.prompt,
                 unread=self.unread,
                 predicted_ms=self.predicted_ms,
--- a/packages/daemon/src/mimosaspur_daemon/direct/attemptlog.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/attemptlog.py
@@ -39,6 +39,6 @@
         objective_ms=journey.route.objective_ms,
         longest_pause_ms=journey.longest_pause_ms,
         lasted_ms=round((asyncio.get_running_loop().time() - journey.request.arrived_s) * 1000),
-        at_target=view.requests(),
-        failing=round(view.health.failing_share(), 2),
+        at_target=view.request_count(),
+        failing=round(view.health.failure_share(), 2),
     )
--- a/packages/daemon/src/mimosaspur_daemon/direct/coordinator.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/coordinator.py
@@ -3,13 +3,13 @@
 import asyncio
 
 from mimosaspur_coordination.adapterdemand import AdapterDemand
-from mimosaspur_coordination.limits.partlease import SharerCount
-from mimosaspur_coordination.loadrate import LoadRate
+from mimosaspur_coordination.limits.sharelease import SharerCount
 from mimosaspur_coordination.modeldemand import ModelDemand
 from mimosaspur_coordination.modelplacement import PlacementSearch
 from mimosaspur_coordination.orderlease import OrderLease
 from mimosaspur_coordination.placementproblem import PlacementProblem
 from mimosaspur_coordination.placementproblem import Swap
+from mimosaspur_coordination.weightloadlimiter import WeightLoadLimiter
 from mimosaspur_daemon.direct.adapterkeeper import AdapterKeeper
 from mimosaspur_daemon.direct.configurationexchange import ConfigurationExchange
 from mimosaspur_daemon.direct.enginedesk import EngineDesk
@@ -64,8 +64,8 @@
         self.copied: set[str] = set()
         self.demand = ModelDemand(clock=self.clock)
         bounds = state.settings.orders
-        self.loads = LoadRate(bounds.load_window_ms, clock=self.clock)
-        self.loads.count(ASSUMED_LOADS)
+        self.loads = WeightLoadLimiter(bounds.load_window_ms, clock=self.clock)
+        self.loads.record(ASSUMED_LOADS)
         self.tasks: set[asyncio.Task[None]] = set()
         self.news = asyncio.Event()
         self.engines = KnownEngines(state, lease, changed=self.news.set)
@@ -158,7 +158,7 @@
 
     def step_down(self) -> None:
         """Tell all entries that this instance gives no more orders."""
-        self.members.sharers.end()
+        self.members.sharers.stop()
         age_ms = self.lease.clock.now_ms() - self.lease.last_order_ms
         self.members.send(StepDown(max(0, age_ms)))
 
@@ -246,7 +246,7 @@
     def _stream_ms(self, service: str) -> float:
         if not self.state.uses(Mechanism.UNLOAD_WAITS):
             return 0.0
-        return self.state.fleet.speed_of(service).stream_ms.value
+        return self.state.fleet.prefill_speed(service).stream_ms.value
 
     def _idle(self) -> bool:
         """Tell whether nobody has asked for anything since this instance began to coordinate."""
@@ -259,7 +259,7 @@
         if swap.for_copy:
             self.copied.add(swap.model)
         if swap.from_store:
-            self.loads.count()
+            self.loads.record()
         demand = self.demand.current(swap.model)
         self.state.log.write(
             "swap",
--- a/packages/daemon/src/mimosaspur_daemon/direct/duty.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/duty.py
@@ -63,7 +63,7 @@
         self.coordinator: Coordinator | None = None
         self.configurations = ConfigurationExchange(state)
         # Reset when the lease is proved again, by whomever.
-        self.renewals = Backoff(first_ms=RENEWAL_PAUSE_MS)
+        self.renewals = Backoff(initial_delay_ms=RENEWAL_PAUSE_MS)
         # How often in a row the store has refused to prove the lease.
         self.refused_renewals = 0
         # Whether this instance has stepped down for good.
@@ -91,8 +91,8 @@
             except (StoreUnavailable, VersionConflict) as error:
                 if isinstance(error, StoreUnavailable) and self.lease.record:
                     await self._follow_last(self.lease.record)
-                self.backoff.failed()
-                await asyncio.sleep(max(LEAST_RETRY_S, self.backoff.pause_s()))
+                self.backoff.record_failure()
+                await asyncio.sleep(max(LEAST_RETRY_S, self.backoff.delay_s()))
 
     async def _follow_last(self, record: LeaseRecord) -> None:
         """Follow the last known coordinator: the store may fail this instance alone."""
@@ -120,7 +120,7 @@
         predecessor = self.lease.record.holder if self.lease.record else ""
         asked_ms = self.lease.clock.now_ms()
         record = await self.state.outside.store.write_lease(self.lease.next_record(self.address))
-        self.backoff.worked()
+        self.backoff.record_success()
         forgotten = self.lease.forgotten
         self.lease.taken(record, asked_ms=asked_ms, predecessor=predecessor)
         if self.last_order_ms is not None and not forgotten:
@@ -167,9 +167,9 @@
                 await self._renew()
             else:
                 self.refused_renewals = 0
-                self.renewals.worked()
+                self.renewals.record_success()
             # A renewal asks other entries too, each of which calls the store.
-            await asyncio.sleep(max(HOLD_CHECK_S, self.renewals.pause_s()))
+            await asyncio.sleep(max(HOLD_CHECK_S, self.renewals.delay_s()))
 
     async def _renew(self) -> None:
         asked_ms = self.lease.clock.now_ms()
@@ -177,13 +177,13 @@
             async with asyncio.timeout(RENEW_TIMEOUT_S):
                 record = await self.state.outside.store.read_lease()
         except StoreUnavailable:
-            self.renewals.failed()
+            self.renewals.record_failure()
             # Turned away at once: it may be this instance alone, and there is time to ask all.
             self.refused_renewals += 1
             self._ask_for_proof(everyone=self.refused_renewals > 1)
             return
         except TimeoutError:
-            self.renewals.failed()
+            self.renewals.record_failure()
             self._ask_for_proof(everyone=True)
             return
         proved = self.lease.proved()
@@ -236,11 +236,11 @@
                     return False
                 if isinstance(message, ReportCounted):
                     self.state.reported.count(message.number)
-                    self.state.quotas.count(message.spent)
+                    self.state.quotas.acknowledge(message.spent)
                 self.configurations.take(message, link)
                 if isinstance(message, FleetReport):
                     followed = True
-                    self.backoff.worked()
+                    self.backoff.record_success()
                     self.last_order_ms = None
                     apply_report(self.state, message)
                     self.configurations.heard(message.version, link)
--- a/packages/daemon/src/mimosaspur_daemon/direct/entryreport.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/entryreport.py
@@ -17,13 +17,13 @@
     work = [
         WorkAt(
             identity,
-            view.own.requests,
-            {rank: round(tokens) for rank, tokens in view.own.unread.items() if tokens >= 1},
-            view.own.held_tokens,
-            dict(view.own.by_model),
+            view.own_work.requests,
+            {rank: round(tokens) for rank, tokens in view.own_work.unread.items() if tokens >= 1},
+            view.own_work.held_tokens,
+            dict(view.own_work.by_model),
         )
         for identity, view in state.fleet.targets.items()
-        if view.own.requests
+        if view.own_work.requests
     ]
     asked = []
     for model in {*state.asked, *state.waiting}:
@@ -37,7 +37,7 @@
     state.asked_adapters.clear()
     waiting = list(state.waiting_adapters)
     number = state.reported.add(work)
-    spendings = state.quotas.report(number)
+    spendings = state.quotas.take_report(number)
     return EntryReport(
         instance,
         number,
@@ -46,7 +46,7 @@
         waiting,
         unreachable,
         asked_adapters,
-        paces_told(state.fleet.paces.news()),
+        paces_told(state.fleet.paces.take_changes()),
         state.leaving,
         state.version(),
         [SpentOf(each.workspace, each.spent, each.refused) for each in spendings],
--- a/packages/daemon/src/mimosaspur_daemon/direct/entrystate.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/entrystate.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from mimosaspur_coordination.durations import Durations
+from mimosaspur_coordination.durations import DurationEstimator
 from mimosaspur_coordination.fleetports import EnginePort
 from mimosaspur_coordination.fleetports import FleetStore
 from mimosaspur_coordination.fleetview import FleetView
-from mimosaspur_coordination.limits.partlease import PartLease
 from mimosaspur_coordination.limits.retrywindow import RetryWindow
+from mimosaspur_coordination.limits.sharelease import ShareLease
 from mimosaspur_coordination.quota.limiter import QuotaLimiter
 from mimosaspur_coordination.storefreshness import StoreFreshness
 from mimosaspur_coordination.workspaces.ranks import Priority
@@ -97,13 +97,13 @@
         self.configuration: Configuration | None = None
         self.fleet = FleetView(
             clock=self.clock,
-            learns_pace=self.uses(Mechanism.MODEL_PACE),
-            learns_queue=self.uses(Mechanism.QUEUE_PART),
+            adaptive_pace=self.uses(Mechanism.MODEL_PACE),
+            adaptive_queue=self.uses(Mechanism.QUEUE_PART),
         )
         self.pools: dict[str, ChannelPool] = {}
         self.retries: dict[str, RetryWindow] = {}
         # This entry's part of the constants that bound repeats.
-        self.retry_part = PartLease(window_ms=settings.retries.window_ms, clock=SuspendClock())
+        self.retry_part = ShareLease(window_ms=settings.retries.window_ms, clock=SuspendClock())
         self.quotas = QuotaLimiter(settings.quotas, clock=self.clock)
         # Set once a coordinator has told what is left of quotas.
         self.quotas_told = asyncio.Event()
@@ -141,7 +141,7 @@
         self.end_s = float("inf")
         # Whether nothing is passed on to targets any more, since this process ends now.
         self.ending = False
-        self.durations = Durations()
+        self.durations = DurationEstimator()
         # Dependencies that do not answer now.
         self.lost: set[str] = set()
 
@@ -228,8 +228,8 @@
     def coordinator_lost(self) -> None:
         """Go on with what this entry knows by itself."""
         self.reported.forget()
-        self.quotas.coordinator_lost()
-        self.fleet.coordinator_lost()
+        self.quotas.on_coordinator_lost()
+        self.fleet.on_coordinator_lost()
 
     def ready(self) -> bool:
         """Tell whether callers may be sent here."""
--- a/packages/daemon/src/mimosaspur_daemon/direct/evacuation.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/evacuation.py
@@ -106,11 +106,13 @@
 
     def _destination(self, attempt: "Attempt") -> TargetView | None:
         journey = attempt.journey
-        views = self.state.fleet.serving(journey.service)
+        views = self.state.fleet.serving_targets(journey.service)
         holders = [
             view
             for view in views
-            if view is not attempt.view and view.holds(journey.prompt) and not view.health.resting()
+            if view is not attempt.view
+            and view.can_run(journey.prompt)
+            and not view.health.is_cooling_down()
         ]
         engine = self._engine(journey.service)
         return choose_engine(
--- a/packages/daemon/src/mimosaspur_daemon/direct/fleetreport.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/fleetreport.py
@@ -66,25 +66,25 @@
     """Take the coordinator's report into an entry's picture of the fleet."""
     if report.sharers != state.retry_part.sharers:
         state.log.write("sharers", sharers=report.sharers, token=report.token)
-    state.retry_part.tell(report.sharers)
+    state.retry_part.renew(report.sharers)
     state.staying = report.staying
-    state.freshness.tell_version(report.version)
+    state.freshness.record_version(report.version)
     remaining = [
         Remaining(told.workspace, told.content, told.asked_per_s) for told in report.quotas
     ]
-    state.quotas.hear(remaining, entries=report.entries)
+    state.quotas.apply_update(remaining, entries=report.entries)
     state.quotas_told.set()
     if report.store:
         apply_store_news(state, report.store)
     for target, others in state.reported.others(report.work).items():
         view = state.fleet.targets.get(target)
         if view:
-            view.others = others
+            view.others_work = others
     for each in report.residents:
         models = {model: frozenset(adapters) for model, adapters in each.models.items()}
-        state.fleet.tell_residents(each.target, models, frozenset(each.closing))
+        state.fleet.set_residents(each.target, models, frozenset(each.closing))
     for told in report.paces:
-        state.fleet.paces.adopt(told.model, Pace(told.factor, told.measurements))
+        state.fleet.paces.apply_shared(told.model, Pace(told.factor, told.measurements))
     state.expected_ms = report.expected
     if report.work or report.residents or report.expected:
         state.changes.notify()
--- a/packages/daemon/src/mimosaspur_daemon/direct/journey.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/journey.py
@@ -174,7 +174,7 @@
         if self.route.kind is RouteKind.STREAM and not self.state.needed():
             return False
         left_ms = (self.state.end_s - asyncio.get_running_loop().time()) * 1000
-        longest_ms = self.state.durations.longest_ms(
+        longest_ms = self.state.durations.upper_bound_ms(
             self.route.name, tokens=self.prompt.output_tokens
         )
         lasts_ms = float(self.route.timeout_ms)
@@ -186,7 +186,7 @@
         """Learn how long the request lasted since an engine's first event, or since it was sent."""
         lasted_ms = (asyncio.get_running_loop().time() - began_s) * 1000
         tokens = self.prompt.output_tokens
-        self.state.durations.learn(self.route.name, lasted_ms, tokens=tokens)
+        self.state.durations.record(self.route.name, lasted_ms, tokens=tokens)
 
     def end_now(self) -> None:
         """End the request at once, since this process ends."""
@@ -256,7 +256,7 @@
         try:
             channel, _ = await pool.take(max_idle_ms=max_idle_ms)
         except ChannelBroken:
-            view.health.unreachable()
+            view.health.record_unreachable()
             self.state.unreachable.add(view.record.identity)
             self.state.report_now.set()
             return Result.NOT_RUN
@@ -288,7 +288,7 @@
         )
 
     def _pace(self) -> float:
-        return self.state.fleet.paces.of(self.prompt.model)
+        return self.state.fleet.paces.token_cost(self.prompt.model)
 
     def _time_limit_ms(self) -> int:
         value = header(self.request.headers, self.state.outside.dialect.deadline_ms) or b""
--- a/packages/daemon/src/mimosaspur_daemon/direct/members.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/members.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 
 from mimosaspur_coordination.carrying import news_pause_s
-from mimosaspur_coordination.limits.partlease import SharerCount
+from mimosaspur_coordination.limits.sharelease import SharerCount
 from mimosaspur_coordination.modelpace import Pace
 from mimosaspur_coordination.modelpace import SharedPaces
 from mimosaspur_coordination.orderlease import OrderLease
@@ -84,7 +84,7 @@
         member.leaving = report.leaving
         self.quotas.hear(report, first=first)
         for told in report.paces:
-            self.paces.hear(told.model, Pace(told.factor, told.measurements))
+            self.paces.add_report(told.model, Pace(told.factor, told.measurements))
 
     def own(self, instance: str) -> Member:
         """Return the member that stands for this instance's own entry."""
@@ -96,7 +96,7 @@
     def add(self, instance: str, member: Member) -> Member:
         """Take in an entry that follows from now on."""
         self.members[instance] = member
-        self.sharers.joined(instance)
+        self.sharers.on_connect(instance)
         return member
 
     def forget(self, member: Member) -> None:
@@ -105,7 +105,7 @@
             if known is member:
                 entries = len(self.members)
                 del self.members[instance]
-                self.sharers.lost(instance)
+                self.sharers.on_disconnect(instance)
                 if not member.leaving:
                     self.quotas.lose(instance, entries=entries, heard_ms=member.heard_ms)
 
@@ -190,7 +190,7 @@
             staying=sum(not each.leaving for each in self.members.values()),
             version=self.state.version(),
             quotas=quotas,
-            sharers=self.sharers.sharers() if lease.proved() else 0,
+            sharers=self.sharers.sharer_count() if lease.proved() else 0,
         )
 
     def _store_to_tell(self) -> StoreTeller | None:
@@ -207,7 +207,7 @@
         if now_ms - self.paces_told_ms < PACES_EVERY_MS:
             return []
         self.paces_told_ms = now_ms
-        news = self.paces.news()
+        news = self.paces.take_changes()
         if news:
             factors = {model: round(pace.factor, 2) for model, pace in news.items()}
             self.state.log.write("paces", factors=factors)
@@ -218,7 +218,7 @@
         if member.link is None:
             # This instance reads the store for itself.
             self.state.reported.count(member.summed)
-            self.state.quotas.count(member.number)
+            self.state.quotas.acknowledge(member.number)
             apply_report(self.state, replace(news.report(member.informed), store=None))
             member.informed = news.after(member.informed)
             return 0
--- a/packages/daemon/src/mimosaspur_daemon/direct/quotateller.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/quotateller.py
@@ -26,29 +26,29 @@
         self.began_ms = state.clock.now_ms()
         limiter = state.quotas
         # How many entries the last coordinator told of, until it is known who is missing.
-        self.expected_entries = limiter.entries if limiter.was_told() else 0
-        self.unheard_since_ms = limiter.told_ms
+        self.expected_entries = limiter.entries if limiter.has_update() else 0
+        self.unheard_since_ms = limiter.last_update_ms
 
     def hear(self, report: EntryReport, *, first: bool) -> None:
         """Take what an entry has spent; its first report is of the time before."""
         self._configure()
         spendings = [Spending(each.workspace, each.spent, each.refused) for each in report.quotas]
-        self.ledger.hear(report.instance, spendings, first=first)
+        self.ledger.record_spending(report.instance, spendings, first=first)
 
     def lose(self, instance: str, *, entries: int, heard_ms: int) -> None:
         """Take note that an entry isn't heard any more, which may go on."""
         silent_ms = self.state.clock.now_ms() - heard_ms
-        self.ledger.lose(instance, entries=entries, silent_ms=silent_ms)
+        self.ledger.on_disconnect(instance, entries=entries, silent_ms=silent_ms)
 
     def news(self, members: int) -> list[RemainingOf]:
         """Return what is left where entries expect another rest."""
         self._configure()
         self._miss_entries(members)
-        return _told(self.ledger.news())
+        return _told(self.ledger.take_updates())
 
     def all(self) -> list[RemainingOf]:
         """Return what is left of all quotas."""
-        return _told(self.ledger.all())
+        return _told(self.ledger.snapshot())
 
     def _configure(self) -> None:
         configuration = self.state.configuration
@@ -57,7 +57,7 @@
         self.version = configuration.version
         limiter = self.state.quotas
         self.ledger.configure(
-            configuration.workspaces or (), limiter.accounts, told_ms=limiter.told_ms
+            configuration.workspaces or (), limiter.accounts, last_update_ms=limiter.last_update_ms
         )
 
     def _miss_entries(self, members: int) -> None:
@@ -69,7 +69,7 @@
         if missing > 0:
             window_ms = self.state.settings.quotas.window_ms
             silent_ms = min(window_ms, now_ms - self.unheard_since_ms)
-            self.ledger.miss(missing, entries=self.expected_entries, silent_ms=silent_ms)
+            self.ledger.reserve_missing(missing, entries=self.expected_entries, silent_ms=silent_ms)
         self.expected_entries = 0
 
 
--- a/packages/daemon/src/mimosaspur_daemon/direct/repeats.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/repeats.py
@@ -21,7 +21,7 @@
 
     def spend(self, repeats: int, *, what: str) -> bool:
         """Take repeats from what the service's bound allows, all or none; log the decision."""
-        granted = self.window.spend(repeats)
+        granted = self.window.try_spend(repeats)
         if granted:
             self.spent_ms += [self.window.clock.now_ms()] * repeats
         self.log.write(
@@ -40,4 +40,4 @@
         unneeded = max(0, len(self.spent_ms) - max(0, self.arrivals - 1))
         # Kept are the last, which lie nearest to the arrivals.
         for spent_ms in self.spent_ms[:unneeded]:
-            self.window.give_back(spent_ms)
+            self.window.refund(spent_ms)
--- a/packages/daemon/src/mimosaspur_daemon/direct/storenews.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/storenews.py
@@ -37,7 +37,7 @@
     def fresh(self) -> bool:
         """Tell whether others may rely on what is told here."""
         on = self.state.uses(Mechanism.STORE_READER)
-        return on and self.state.freshness.may_tell((TARGETS, CONFIGURATION))
+        return on and self.state.freshness.may_share((TARGETS, CONFIGURATION))
 
     def news(self, known: int) -> StoreNews:
         """Return what somebody has to hear who knows all up to a number."""
@@ -57,7 +57,7 @@
     if news.revision < state.fleet.revision:
         return
     state.log.counters.observe("store_news_age_ms", news.age_ms)
-    state.freshness.tell(age_ms=news.age_ms)
+    state.freshness.confirm_by_coordinator(age_ms=news.age_ms)
     state.fleet.revision = news.revision
     records = {told.identity: _record(told) for told in news.targets}
     if news.whole:
--- a/packages/daemon/src/mimosaspur_daemon/direct/storewatch.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/storewatch.py
@@ -4,9 +4,9 @@
 
 from mimosaspur_coordination.backoff import Backoff
 from mimosaspur_coordination.fleetports import ConfigurationChange
-from mimosaspur_coordination.storefreshness import CONFIGURATION_WAIT_PART
-from mimosaspur_coordination.storefreshness import TARGETS_PAUSE_PART
-from mimosaspur_coordination.storefreshness import TARGETS_WAIT_PART
+from mimosaspur_coordination.storefreshness import CONFIGURATION_WATCH_SHARE
+from mimosaspur_coordination.storefreshness import TARGETS_PAUSE_SHARE
+from mimosaspur_coordination.storefreshness import TARGETS_WATCH_SHARE
 from mimosaspur_daemon.direct.entrystate import EntryState
 from mimosaspur_daemon.direct.storenews import CONFIGURATION
 from mimosaspur_daemon.direct.storenews import TARGETS
@@ -47,7 +47,7 @@
     def __init__(self, kind: str, state: EntryState) -> None:
         self.kind = kind
         self.state = state
-        self.lists = Backoff(longest_ms=LONGEST_AWAY_MS, free=0)
+        self.lists = Backoff(max_delay_ms=LONGEST_AWAY_MS, undelayed_failures=0)
         # While lists work, little is missed between two watches that fail.
         self.watches = Backoff()
         # Watches in a row that failed.
@@ -55,7 +55,7 @@
 
     async def pause(self, *, watched: bool) -> None:
         """Wait after a list or a watch that failed."""
-        await asyncio.sleep((self.watches if watched else self.lists).pause_s())
+        await asyncio.sleep((self.watches if watched else self.lists).delay_s())
 
     def failed(self, error: Exception, *, watched: bool) -> bool:
         """Count a list or a watch that failed; tell whether the store may have been away.
@@ -63,7 +63,7 @@
         It may have been if a list fails, or a watch after one that worked. Watches that go on
         failing while lists work show nothing new.
         """
-        (self.watches if watched else self.lists).failed()
+        (self.watches if watched else self.lists).record_failure()
         first = not self.failed_watches
         self.failed_watches += watched
         if isinstance(error, RevisionTooOld):
@@ -76,14 +76,14 @@
 
     def listed(self) -> None:
         """Note a list that worked, which doesn't show that the store can be followed."""
-        self.lists.worked()
+        self.lists.record_success()
         if self.failed_watches < 2:
             self._regained()
 
     def watched(self) -> None:
         """Note a watch that worked."""
-        self.watches.worked()
-        self.lists.worked()
+        self.watches.record_success()
+        self.lists.record_success()
         self.failed_watches = 0
         self._regained()
 
@@ -152,7 +152,7 @@
             self.configuration.listed()
         else:
             change = await self.store.watch_configuration(
-                revision, wait_ms=self._wait_ms(CONFIGURATION_WAIT_PART)
+                revision, wait_ms=self._wait_ms(CONFIGURATION_WATCH_SHARE)
             )
             asked_ms = self.state.clock.now_ms()
             self.configuration.watched()
@@ -167,18 +167,18 @@
         """Tell whether the coordinator reads the store for this entry."""
         if self.state.coordinating or not self.state.targets_known:
             return False
-        return self.state.configuration is not None and self.state.freshness.told_lately()
+        return self.state.configuration is not None and self.state.freshness.coordinator_is_fresh()
 
     def _told_of_newer(self) -> bool:
         """Tell whether the coordinator knows a newer configuration."""
-        if self.state.freshness.version <= self.state.version():
+        if self.state.freshness.coordinator_version <= self.state.version():
             return False
         # Whoever told of it passes it on too, which spares the store a call for each entry.
         waits = self.state.uses(Mechanism.PEER_CONFIGURATION)
-        return not waits or self.state.freshness.newer_for_ms() >= PEER_FIRST_MS
+        return not waits or self.state.freshness.version_age_ms() >= PEER_FIRST_MS
 
     def _pause_s(self) -> float:
-        part = TARGETS_PAUSE_PART if self.state.coordinating else PAUSE_PART
+        part = TARGETS_PAUSE_SHARE if self.state.coordinating else PAUSE_PART
         return self.state.settings.drain_ms * part / 1000
 
     def _wait_ms(self, part: float) -> int:
@@ -210,7 +210,9 @@
         return listing.revision
 
     async def _watch_targets(self, revision: int) -> int:
-        changes = await self.store.watch_targets(revision, wait_ms=self._wait_ms(TARGETS_WAIT_PART))
+        changes = await self.store.watch_targets(
+            revision, wait_ms=self._wait_ms(TARGETS_WATCH_SHARE)
+        )
         self.targets.watched()
         lapsing = self.state.clock.now_ms() < self.lapsed_until_ms
         removed = [] if lapsing else list(changes.removed)
--- a/packages/daemon/src/mimosaspur_daemon/direct/targeting.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/targeting.py
@@ -5,7 +5,7 @@
 from mimosaspur_coordination.fleetview import Prompt
 from mimosaspur_coordination.fleetview import TargetView
 from mimosaspur_coordination.targetchoice import choose_engine
-from mimosaspur_coordination.targetchoice import choose_plain
+from mimosaspur_coordination.targetchoice import choose_plain_target
 from mimosaspur_daemon.direct.entrystate import LATE_RANK
 from mimosaspur_daemon.direct.entrystate import RESUMED_RANK
 from mimosaspur_daemon.direct.entrystate import EntryState
@@ -92,21 +92,23 @@
         if self.spec is not None and self.spec.engine is not None and self.prompt.model:
             return await self._engine()
         while True:
-            view = choose_plain(self._awake(), domain=self.state.settings.failure_domain)
+            view = choose_plain_target(self._awake(), domain=self.state.settings.failure_domain)
             if view is not None:
                 return view
             await self._wait_for_rested()
 
     def has_other(self, view: TargetView) -> bool:
         """Tell whether another target could take the request now."""
-        others = [each for each in self._awake() if each is not view and not each.health.resting()]
-        return any(not self.prompt.model or each.holds(self.prompt) for each in others)
+        others = [
+            each for each in self._awake() if each is not view and not each.health.is_cooling_down()
+        ]
+        return any(not self.prompt.model or each.can_run(self.prompt) for each in others)
 
     def foreseen_ms(self) -> float:
         """Return when the first event is foreseen, 0 for a plain service."""
         if self.spec is None or self.spec.engine is None or not self.prompt.model:
             return 0.0
-        holders = [view for view in self._awake() if view.holds(self.prompt)]
+        holders = [view for view in self._awake() if view.can_run(self.prompt)]
         foreseen = [view.first_token_ms(self.prompt, rank=self.rank) for view in holders]
         return min(foreseen, default=float("inf"))
 
@@ -142,8 +144,8 @@
         overload the engines would otherwise serve every request late.
         """
         # A model whose only engine can't be reached is soon loaded on another one.
-        awake = [view for view in self._awake() if not view.health.resting()]
-        holders = [view for view in awake if view.holds(self.prompt)]
+        awake = [view for view in self._awake() if not view.health.is_cooling_down()]
+        holders = [view for view in awake if view.can_run(self.prompt)]
         engine = self.spec.engine if self.spec else None
         ranks = (RESUMED_RANK,) if self.resumed else (self._rank(), self._late_rank())
         over_s = 0.0
@@ -173,7 +175,7 @@
 
     def _awake(self) -> list[TargetView]:
         now_s = _now_s()
-        views = self.state.fleet.serving(self.service)
+        views = self.state.fleet.serving_targets(self.service)
         return [view for view in views if self.rests.get(view.record.identity, 0) <= now_s]
 
     def _next_look_s(self) -> float:
@@ -181,7 +183,7 @@
         return max(0.01, min([LOOK_AGAIN_S, *(end for end in ends if end > 0)]))
 
     async def _wait_for_rested(self) -> None:
-        serving = self.state.fleet.serving(self.service)
+        serving = self.state.fleet.serving_targets(self.service)
         if not serving or self.left_s() < LOOK_AGAIN_S:
             raise self.refusal(ResultCode.NO_READY_TARGET)
         await self.state.changes.wait(self._next_look_s())
--- a/packages/daemon/src/mimosaspur_daemon/direct/workspacequota.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/workspacequota.py
@@ -34,7 +34,7 @@
     workspace = find_workspace(configuration, digest)
     if route.public:
         return workspace
-    age_ms = state.freshness.known_ms_ago(CONFIGURATION)
+    age_ms = state.freshness.confirmation_age_ms(CONFIGURATION)
     trusted_ms = state.settings.credentials_trusted_ms
     if workspace and (trusted_ms is None or age_ms <= trusted_ms):
         return workspace
@@ -46,7 +46,7 @@
 
 async def first_news(state: EntryState, workspace: Workspace | None) -> None:
     """Wait a little until a process that has just started is told what is left of quotas."""
-    if workspace is None or workspace.quota is None or state.quotas.was_told():
+    if workspace is None or workspace.quota is None or state.quotas.has_update():
         return
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(FIRST_NEWS_S):
@@ -81,7 +81,7 @@
 def give_back_unless_run(journey: Journey) -> None:
     """Return what was taken for a request that has surely not run."""
     if journey.charged and journey.workspace and not journey.may_have_run():
-        journey.state.quotas.give_back(journey.workspace.name, journey.charged)
+        journey.state.quotas.refund(journey.workspace.name, journey.charged)
     journey.charged = 0.0
 
 
--- a/packages/daemon/src/mimosaspur_daemon/dispatcher.py
+++ b/packages/daemon/src/mimosaspur_daemon/dispatcher.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 from collections.abc import Iterator
 
-from mimosaspur_coordination.demandcount import DemandCounter
-from mimosaspur_coordination.directory import Directory
+from mimosaspur_coordination.demandcounter import DemandCounter
 from mimosaspur_coordination.generation import BundleHolder
 from mimosaspur_coordination.ports import Answer
 from mimosaspur_coordination.ports import ModelCard
-from mimosaspur_coordination.retry import RetryBudget
+from mimosaspur_coordination.retrybudget import RetryBudget
 from mimosaspur_coordination.routing import Candidate
 from mimosaspur_coordination.routing import Router
+from mimosaspur_coordination.targetdirectory import TargetDirectory
 from mimosaspur_daemon.journey import DEFAULT_RETRY_MS
 from mimosaspur_daemon.journey import FINAL_REFUSALS
 from mimosaspur_daemon.journey import Journey
@@ -52,7 +52,7 @@
         self,
         *,
         holder: BundleHolder,
-        directory: Directory,
+        directory: TargetDirectory,
         router: Router,
         links: Links,
         budget: RetryBudget,
@@ -76,10 +76,10 @@
 
     def dispatch(self, work: Work, deadline_ms: int, gone: Callable[[], bool]) -> Answer:
         """Have a request run and return its answer; raise MimosaspurError."""
-        self.budget.earn()
+        self.budget.record_request()
         journey = Journey(work, Deadline(self.clock, deadline_ms), gone)
         model = self._model_of(work)
-        self.demand.request(model)
+        self.demand.count_request(model)
         began_ms = self.clock.now_ms()
         try:
             answer = self._try_targets(journey)
@@ -87,7 +87,7 @@
             error = truthful(journey, found)
             self.metrics.count(f"entry.result.{error.code.name.lower()}")
             if error.outcome is Outcome.NOT_RUN:
-                self.demand.refused(model)
+                self.demand.count_refusal(model)
             raise error from found
         self.metrics.timing("entry.first", self.clock.now_ms() - began_ms)
         return answer
@@ -248,7 +248,7 @@
         refusal = journey.last_refusal
         # Being behind is nobody's load: it costs no retry of the budget.
         free = refusal is not None and refusal.code is ResultCode.STALE_GENERATION
-        if journey.attempts >= MAX_ATTEMPTS or not (free or self.budget.spend()):
+        if journey.attempts >= MAX_ATTEMPTS or not (free or self.budget.try_spend()):
             raise refused(journey, ResultCode.RETRIES_EXHAUSTED)
 
     def _next(self, journey: Journey, attempt: Attempt) -> Event:
--- a/packages/daemon/src/mimosaspur_daemon/entryrole.py
+++ b/packages/daemon/src/mimosaspur_daemon/entryrole.py
@@ -3,13 +3,13 @@
 import random
 import uuid
 
-from mimosaspur_coordination.demandcount import DemandCounter
-from mimosaspur_coordination.directory import Directory
+from mimosaspur_coordination.demandcounter import DemandCounter
 from mimosaspur_coordination.generation import BundleFetcher
 from mimosaspur_coordination.generation import BundleHolder
 from mimosaspur_coordination.mirror import Mirror
-from mimosaspur_coordination.retry import RetryBudget
+from mimosaspur_coordination.retrybudget import RetryBudget
 from mimosaspur_coordination.routing import Router
+from mimosaspur_coordination.targetdirectory import TargetDirectory
 from mimosaspur_daemon.application import Application
 from mimosaspur_daemon.dispatcher import EntryDispatcher
 from mimosaspur_daemon.instancefollower import InstanceFollower
@@ -51,8 +51,8 @@
         )
         self.fetcher = BundleFetcher(self.store, self.holder)
         self.mirror.listeners.append(self.fetcher.head_changed)
-        self.directory = Directory(self.mirror, region=region)
-        self.mirror.listeners.append(self.directory.follow_drains)
+        self.directory = TargetDirectory(self.mirror, region=region)
+        self.mirror.listeners.append(self.directory.on_drain_change)
         self.demand = DemandCounter()
         self.links = Links(
             instance=settings.instance.name,
--- a/packages/daemon/src/mimosaspur_daemon/instancefollower.py
+++ b/packages/daemon/src/mimosaspur_daemon/instancefollower.py
@@ -3,9 +3,9 @@
 import random
 import threading
 
-from mimosaspur_coordination.directory import Directory
-from mimosaspur_coordination.listpace import ListPace
+from mimosaspur_coordination.listreadlimiter import ListReadLimiter
 from mimosaspur_coordination.mirror import Mirror
+from mimosaspur_coordination.targetdirectory import TargetDirectory
 from mimosaspur_daemon.links import Links
 from mimosaspur_state.clock import Clock
 from mimosaspur_state.errors import StoreUnavailable
@@ -26,7 +26,7 @@
     def __init__(
         self,
         instance_list: InstanceListClient,
-        directory: Directory,
+        directory: TargetDirectory,
         mirror: Mirror,
         links: Links,
         *,
@@ -39,21 +39,21 @@
         self.links = links
         self.clock = clock
         self.pause_ms = settings.instance_list_ms
-        self.pace = ListPace(
-            pause_ms=settings.instance_list_ms,
+        self.pace = ListReadLimiter(
+            interval_ms=settings.instance_list_ms,
             bytes_per_second=settings.instance_list_bytes_per_second,
         )
         self.wake = threading.Event()
 
     def follow_records(self, item: StoredObject) -> None:
         """Look sooner when a record names a target that is not known here."""
-        if self.directory.follow_records(item):
+        if self.directory.on_placement_change(item):
             self.wake.set()
 
     def run(self, stop: threading.Event) -> None:
         """Go round until told to stop; it ends within a pause."""
         while not stop.is_set():
-            if self.pace.due(self.clock.now_ms(), self.directory.sought()):
+            if self.pace.is_due(self.clock.now_ms(), self.directory.unresolved_targets()):
                 self._read()
             # The list may be down together with the object API: the targets known so far remain.
             if not self.mirror.reachable:
@@ -66,12 +66,12 @@
             instances = self.instance_list.instances()
         except StoreUnavailable as error:
             log(PART, "Could not read the instance list.", error=str(error))
-            self.pace.not_answered(self.clock.now_ms())
+            self.pace.record_failure(self.clock.now_ms())
             return
         self.directory.update(instances)
         size_bytes = self.instance_list.size_bytes
-        self.pace.noted(self.clock.now_ms(), size_bytes, self.directory.sought())
-        self.directory.give_up(self.pace.exhausted())
+        self.pace.record_read(self.clock.now_ms(), size_bytes, self.directory.unresolved_targets())
+        self.directory.stop_resolving(self.pace.exhausted())
 
     def _ask_targets(self) -> None:
         hints = list(self.directory.hints.values())
--- a/packages/daemon/src/mimosaspur_daemon/reports.py
+++ b/packages/daemon/src/mimosaspur_daemon/reports.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from mimosaspur_coordination.demandcount import BUCKETS
-from mimosaspur_coordination.demandcount import DemandCounter
+from mimosaspur_coordination.demandcounter import BUCKET_COUNT
+from mimosaspur_coordination.demandcounter import DemandCounter
 from mimosaspur_daemon.ownrecord import OwnRecord
 from mimosaspur_state import keys
 from mimosaspur_state.objects import ObjectStore
@@ -31,14 +31,14 @@
         """Report until told to stop."""
         interval_ms = self.settings.planner.demand_report_ms
         window_ms = self.settings.planner.demand_window_ms
-        turn_every = max(1, window_ms // BUCKETS // interval_ms)
+        turn_every = max(1, window_ms // BUCKET_COUNT // interval_ms)
         beat = 0
         told = None
         while not stop.wait(interval_ms / 1000):
             beat += 1
             if beat % turn_every == 0:
-                self.demand.turn()
-            models = self.demand.window()
+                self.demand.rotate()
+            models = self.demand.totals()
             report = DemandReport(self.settings.instance.name, window_ms, models, beat)
             if models != told and self.record.write(report):
                 told = models
--- a/packages/daemon/src/mimosaspur_daemon/serving.py
+++ b/packages/daemon/src/mimosaspur_daemon/serving.py
@@ -79,7 +79,7 @@
     def cancel(self, attempt: RunningAttempt) -> None:
         """End an attempt that nobody waits for."""
         attempt.cancelled.set()
-        self.queue.wake()
+        self.queue.recheck_waiting()
         self.runner.cancel(attempt)
 
     def drain(self) -> None:
@@ -168,7 +168,7 @@
 
     def _admit(self, attempt: RunningAttempt, deadline: Deadline) -> None:
         priority = attempt.submit.work.priority
-        ticket = self.queue.enter(priority, deadline, attempt.cancelled)
+        ticket = self.queue.acquire(priority, deadline, attempt.cancelled)
         began_ms = self.clock.now_ms()
         took_ms: int | None = None
         try:
@@ -176,7 +176,7 @@
             took_ms = self.clock.now_ms() - began_ms
             self.metrics.timing("target.run", took_ms)
         finally:
-            self.queue.leave(ticket, took_ms)
+            self.queue.release(ticket, took_ms)
 
     def _claim_and_run(self, attempt: RunningAttempt, deadline: Deadline) -> None:
         work = attempt.submit.work
--- a/packages/daemon/src/mimosaspur_daemon/targetrole.py
+++ b/packages/daemon/src/mimosaspur_daemon/targetrole.py
@@ -123,7 +123,7 @@
         return AdmissionQueue(
             self.clock,
             slots=self.target.slots,
-            limit=self.target.queue,
+            max_waiting=self.target.queue,
             service_time_ms=self.target.service_time_ms,
             naive=self.settings.policy is Policy.NAIVE,
         )
--- a/packages/load/src/mimosaspur_load/quotas/evensplit.py
+++ b/packages/load/src/mimosaspur_load/quotas/evensplit.py
@@ -1,8 +1,8 @@
 """Give each entry the same part of a quota for good: the naive way."""
 
-from mimosaspur_coordination.quota.bounds import capacity_of
+from mimosaspur_coordination.quota.bounds import bucket_capacity
 from mimosaspur_coordination.quota.bounds import refill_per_s
-from mimosaspur_coordination.quota.level import Level
+from mimosaspur_coordination.quota.quotabucket import QuotaBucket
 from mimosaspur_load.quotas.way import HandClock
 from mimosaspur_state.directsettings import QuotaBounds
 from mimosaspur_state.workspaces import Workspace
@@ -17,7 +17,7 @@
         self.entries = entries
         self.bounds = bounds
         self.clock = clock
-        self.levels: list[dict[str, Level]] = [{} for _ in range(entries)]
+        self.levels: list[dict[str, QuotaBucket]] = [{} for _ in range(entries)]
         self.configure(workspaces)
 
     def admit(self, entry: int, workspace: str, cost: float) -> bool:
@@ -61,13 +61,13 @@
         for levels in self.levels:
             for each in workspaces:
                 assert each.quota
-                capacity = capacity_of(each.quota, self.bounds) / self.entries
+                capacity = bucket_capacity(each.quota, self.bounds) / self.entries
                 per_s = refill_per_s(each.quota, self.bounds) / self.entries
                 known = levels.get(each.name)
                 if known:
                     known.resize(capacity=capacity, per_s=per_s, now_ms=self.clock.ms)
                 else:
-                    levels[each.name] = Level(
+                    levels[each.name] = QuotaBucket(
                         capacity=capacity, per_s=per_s, content=capacity, at_ms=self.clock.ms
                     )
 
--- a/packages/load/src/mimosaspur_load/quotas/leasedshares.py
+++ b/packages/load/src/mimosaspur_load/quotas/leasedshares.py
@@ -1,9 +1,9 @@
 """Spend shares that the coordinator grants to those who ask, and that run out."""
 
-from mimosaspur_coordination.quota.bounds import capacity_of
+from mimosaspur_coordination.quota.bounds import bucket_capacity
 from mimosaspur_coordination.quota.bounds import refill_per_s
-from mimosaspur_coordination.quota.fading import FadingRate
-from mimosaspur_coordination.quota.level import Level
+from mimosaspur_coordination.quota.decayingrate import DecayingRate
+from mimosaspur_coordination.quota.quotabucket import QuotaBucket
 from mimosaspur_coordination.quota.spending import Remaining
 from mimosaspur_coordination.quota.spending import Spending
 from mimosaspur_load.quotas.messagebytes import bytes_of_said
@@ -26,16 +26,16 @@
         self.entries = entries
         self.bounds = bounds
         self.clock = clock
-        self.quota: dict[str, Level] = {}
+        self.quota: dict[str, QuotaBucket] = {}
         self.held: list[dict[str, float]] = [{} for _ in range(entries)]
         self.ends: list[dict[str, int]] = [{} for _ in range(entries)]
-        self.asked: list[dict[str, FadingRate]] = [{} for _ in range(entries)]
+        self.asked: list[dict[str, DecayingRate]] = [{} for _ in range(entries)]
         self.wanted: list[dict[str, float]] = [{} for _ in range(entries)]
         self.configure(workspaces)
 
     def admit(self, entry: int, workspace: str, cost: float) -> bool:
         """Spend from what is held here."""
-        asked = self.asked[entry].setdefault(workspace, FadingRate(self.clock.ms))
+        asked = self.asked[entry].setdefault(workspace, DecayingRate(self.clock.ms))
         asked.add(cost, self.clock.ms)
         held = self.held[entry].get(workspace, 0.0)
         if held < cost or self.ends[entry].get(workspace, 0) < self.clock.ms:
@@ -110,7 +110,7 @@
         """Set the quotas."""
         for each in workspaces:
             assert each.quota
-            capacity = capacity_of(each.quota, self.bounds)
+            capacity = bucket_capacity(each.quota, self.bounds)
             known = self.quota.get(each.name)
             if known:
                 known.resize(
@@ -119,7 +119,7 @@
                     now_ms=self.clock.ms,
                 )
             else:
-                self.quota[each.name] = Level(
+                self.quota[each.name] = QuotaBucket(
                     capacity=capacity,
                     per_s=refill_per_s(each.quota, self.bounds),
                     content=capacity,
--- a/packages/load/src/mimosaspur_load/quotas/play.py
+++ b/packages/load/src/mimosaspur_load/quotas/play.py
@@ -8,8 +8,8 @@
 from dataclasses import replace
 from random import Random
 
-from mimosaspur_coordination.quota.bounds import may_pass
-from mimosaspur_coordination.quota.level import Level
+from mimosaspur_coordination.quota.bounds import max_overage
+from mimosaspur_coordination.quota.quotabucket import QuotaBucket
 from mimosaspur_load.quotas.troubles import TROUBLES
 from mimosaspur_load.quotas.troubles import Trouble
 from mimosaspur_load.quotas.way import HandClock
@@ -66,7 +66,7 @@
         options = {"chance": self.chance.random} if way == "told" else {}
         self.way: Way = WAYS[way](entries, BOUNDS, self.clock, self.workspaces, **options)
         self.ideal = [
-            Level(
+            QuotaBucket(
                 capacity=_quota(each).burst,
                 per_s=_quota(each).per_s,
                 content=_quota(each).burst,
@@ -172,7 +172,7 @@
 
     def _limit(self, number: int, workspace: Workspace) -> None:
         quota = _quota(workspace)
-        allowed = quota.per_s * BOUNDS.window_ms / 1000 + quota.burst + may_pass(quota, BOUNDS)
+        allowed = quota.per_s * BOUNDS.window_ms / 1000 + quota.burst + max_overage(quota, BOUNDS)
         self.limits[number].append((self.clock.ms, allowed))
 
     def _away(self) -> bool:
--- a/packages/load/src/mimosaspur_load/quotas/toldlevels.py
+++ b/packages/load/src/mimosaspur_load/quotas/toldlevels.py
@@ -37,7 +37,7 @@
         self.ledger.configure(workspaces, {})
 
     def _limiter(self) -> QuotaLimiter:
-        limiter = QuotaLimiter(self.bounds, clock=self.clock, chance=self.chance)
+        limiter = QuotaLimiter(self.bounds, clock=self.clock, random_source=self.chance)
         limiter.configure(self.workspaces)
         return limiter
 
@@ -51,47 +51,47 @@
     def report(self, entry: int) -> object:
         """Send what was spent."""
         self.numbers[entry] += 1
-        return self.numbers[entry], self.limiters[entry].report(self.numbers[entry])
+        return self.numbers[entry], self.limiters[entry].take_report(self.numbers[entry])
 
     def hear(self, entry: int, report: object) -> None:
         """Count what was spent."""
         assert isinstance(report, tuple)
         self.heard[entry], spendings = report
-        self.ledger.hear(str(entry), spendings, first=entry in self.silent)
+        self.ledger.record_spending(str(entry), spendings, first=entry in self.silent)
         self.silent.discard(entry)
 
     def news(self) -> object:
         """Tell what entries don't expect."""
-        return list(self.heard), self.ledger.news()
+        return list(self.heard), self.ledger.take_updates()
 
     def tell(self, entry: int, news: object) -> None:
         """Take what is left."""
         assert isinstance(news, tuple)
         heard, remaining = news
-        self.limiters[entry].count(heard[entry])
-        self.limiters[entry].hear(remaining, entries=self.entries)
+        self.limiters[entry].acknowledge(heard[entry])
+        self.limiters[entry].apply_update(remaining, entries=self.entries)
 
     def lose_coordinator(self) -> None:
         """Go on from what the first entry knows."""
         for limiter in self.limiters:
-            limiter.coordinator_lost()
+            limiter.on_coordinator_lost()
         first = self.limiters[0]
         self.silent = set(range(self.entries))
         self.ledger = QuotaLedger(self.bounds, clock=self.clock)
-        self.ledger.configure(self.workspaces, first.accounts, told_ms=first.told_ms)
+        self.ledger.configure(self.workspaces, first.accounts, last_update_ms=first.last_update_ms)
         for entry in range(self.entries):
             # Whoever follows anew is told all first.
-            self.limiters[entry].hear(self.ledger.all(), entries=self.entries)
+            self.limiters[entry].apply_update(self.ledger.snapshot(), entries=self.entries)
 
     def lose(self, entry: int, *, silent_ms: int) -> None:
         """Have the coordinator take note that an entry is not heard any more."""
-        self.ledger.lose(str(entry), entries=self.entries, silent_ms=silent_ms)
+        self.ledger.on_disconnect(str(entry), entries=self.entries, silent_ms=silent_ms)
 
     def find(self, entry: int) -> None:
         """Have an entry follow anew that was cut off."""
-        self.limiters[entry].coordinator_lost()
+        self.limiters[entry].on_coordinator_lost()
         self.silent.add(entry)
-        self.limiters[entry].hear(self.ledger.all(), entries=self.entries)
+        self.limiters[entry].apply_update(self.ledger.snapshot(), entries=self.entries)
 
     def restart(self, entry: int) -> None:
         """Begin with an empty head."""
--- a/packages/transport/src/mimosaspur_transport/targetlink.py
+++ b/packages/transport/src/mimosaspur_transport/targetlink.py
@@ -97,7 +97,7 @@
             if self.wire is not wire:
                 return None
             self.attempts[key] = attempt
-            self.hint.own += 1
+            self.hint.in_flight += 1
         try:
             wire.send(submit)
         except ConnectionLost:
@@ -111,7 +111,7 @@
         with self.lock:
             if self.attempts.pop(key, None) is None:
                 return
-            self.hint.own -= 1
+            self.hint.in_flight -= 1
             wire = self.wire
             self.used_at_ms = self.clock.now_ms()
         if wire is None:
@@ -203,7 +203,7 @@
             self.wire = wire
             self.target_incarnation = welcome.incarnation
             pending = list(self.attempts.values())
-            self.hint.connected(welcome.draining, welcome.residents)
+            self.hint.on_connect(welcome.draining, welcome.residents)
             self.changed.notify_all()
         self.on_residents()
         self._compare(wire, welcome.generation)
@@ -251,14 +251,14 @@
     def _forget_wire(self) -> None:
         with self.lock:
             self.wire = None
-            self.hint.closed()
+            self.hint.on_idle_close()
 
     def _lost(self) -> bool:
         with self.lock:
             was_connected = self.wire is not None
             self.wire = None
             self.failures += 1
-            self.hint.lost(self.clock.now_ms())
+            self.hint.on_disconnect(self.clock.now_ms())
             self.changed.notify_all()
             return was_connected
 
@@ -282,7 +282,7 @@
     @_handle.register
     def _(self, message: Pong, wire: Wire) -> None:
         self.unanswered_since_ms = None
-        self.hint.report(message.load, message.draining, self.clock.now_ms())
+        self.hint.on_load_report(message.load, message.draining, self.clock.now_ms())
         self._compare(wire, message.generation)
 
     @_handle.register
