--- a/features/harness/placement_fleets.py
+++ b/features/harness/placement_fleets.py
@@ -12,7 +12,7 @@
 WEIGHTS_MB = (65_000.0, 68_000.0, 72_000.0)
 # Three models have room beside full adapter places.
 ENGINE_MB = 230_000.0
-PLACES = 3
+SLOTS = 3
 
 
 def fleet_spec(models: int) -> EngineSpec:
@@ -31,7 +31,7 @@
 
     snapshots = []
     for number in range(engines):
-        residents = some(PLACES)
+        residents = some(SLOTS)
         snapshots.append(
             EngineSnapshot(
                 f"e{number}",
@@ -42,7 +42,7 @@
                 recent=frozenset(residents[:1]) if chance.random() < 0.2 else frozenset(),
                 in_memory=some(2),
                 on_disk=some(6),
-                kept_free=some(1) if chance.random() < 0.1 else (),
+                reserved_models=some(1) if chance.random() < 0.1 else (),
             )
         )
     demand = {
@@ -60,10 +60,10 @@
         spec,
         snapshots,
         demand,
-        store_free=chance.random() < 0.7,
+        store_load_allowed=chance.random() < 0.7,
         idle=chance.random() < 0.2,
         stream_ms=chance.choice((0.0, 1_500.0)),
-        copied=set(some(2)),
+        preloaded=set(some(2)),
     )
 
 
@@ -74,9 +74,9 @@
     snapshots = [
         EngineSnapshot(
             f"e{number}",
-            {names[(number * PLACES + place) % models]: 1 for place in range(PLACES)},
+            {names[(number * SLOTS + place) % models]: 1 for place in range(SLOTS)},
             500 if why == "none of them free" else 0,
-            on_disk=tuple(names[(number * PLACES + place) % models] for place in range(PLACES + 6)),
+            on_disk=tuple(names[(number * SLOTS + place) % models] for place in range(SLOTS + 6)),
         )
         for number in range(engines)
     ]
--- a/features/harness/placement_oracle.py
+++ b/features/harness/placement_oracle.py
@@ -3,26 +3,26 @@
 import math
 from dataclasses import replace
 
-from mimosaspur_coordination.modelplacement import COPY_LOSS
-from mimosaspur_coordination.modelplacement import COPY_SECOND_TOKENS
-from mimosaspur_coordination.modelplacement import HYSTERESIS
-from mimosaspur_coordination.modelplacement import OVERFLOW_S
-from mimosaspur_coordination.modelplacement import REPLICA_CAPACITY
-from mimosaspur_coordination.modelplacement import REPLICA_SECOND_TOKENS
-from mimosaspur_coordination.modelplacement import REQUEST_TOKENS
-from mimosaspur_coordination.modelplacement import ROOM_TOKENS
-from mimosaspur_coordination.modelplacement import SECOND_TOKENS
-from mimosaspur_coordination.modelplacement import SHARED_ENGINE_PART
-from mimosaspur_coordination.modelplacement import STORE_TOKENS
-from mimosaspur_coordination.modelplacement import WAITING_SECOND_TOKENS
+from mimosaspur_coordination.modelplacement import COPY_COST_PER_S
+from mimosaspur_coordination.modelplacement import EXTRA_REPLICA_COST_PER_S
+from mimosaspur_coordination.modelplacement import FIRST_REPLICA_COST_PER_S
+from mimosaspur_coordination.modelplacement import HYSTERESIS_RATIO
+from mimosaspur_coordination.modelplacement import MAX_COPY_COST
+from mimosaspur_coordination.modelplacement import MIN_FREE_ROOM_TOKENS_PER_S
+from mimosaspur_coordination.modelplacement import OVERFLOW_WINDOW_S
+from mimosaspur_coordination.modelplacement import REPLICA_CAPACITY_TOKENS_PER_S
+from mimosaspur_coordination.modelplacement import SHARED_ENGINE_WEIGHT
+from mimosaspur_coordination.modelplacement import STORE_LOAD_COST
+from mimosaspur_coordination.modelplacement import TOKENS_PER_REQUEST
+from mimosaspur_coordination.modelplacement import WAITING_REQUEST_COST_PER_S
 from mimosaspur_coordination.placementcost import adapters_mb
-from mimosaspur_coordination.placementcost import copies_loss_of
-from mimosaspur_coordination.placementcost import engine_tokens
-from mimosaspur_coordination.placementcost import kept_from_loss_of
-from mimosaspur_coordination.placementcost import resident_loss
-from mimosaspur_coordination.placementcost import unload_ms_of
+from mimosaspur_coordination.placementcost import blocking_loss_per_s
+from mimosaspur_coordination.placementcost import copy_eviction_loss
+from mimosaspur_coordination.placementcost import engine_demand
+from mimosaspur_coordination.placementcost import expected_unload_ms
+from mimosaspur_coordination.placementcost import unload_loss
+from mimosaspur_coordination.placementproblem import CROWDED_REPLICA_TOKENS_PER_S
 from mimosaspur_coordination.placementproblem import LONG_LOAD_MS
-from mimosaspur_coordination.placementproblem import REPLICA_TOKENS
 from mimosaspur_coordination.placementproblem import EngineSnapshot
 from mimosaspur_coordination.placementproblem import PlacementProblem
 from mimosaspur_coordination.placementproblem import Swap
@@ -33,7 +33,7 @@
 
 def full_next_swap(problem: PlacementProblem) -> Swap | None:
     """Return the most useful load that an engine can begin now."""
-    return _for_needs(problem) or _for_load(problem) or _for_room(problem)
+    return _for_unmet_demand(problem) or _for_crowded_models(problem) or _for_free_room(problem)
 
 
 def full_next_copy(problem: PlacementProblem) -> Swap | None:
@@ -44,13 +44,13 @@
     """
     for name, model in problem.spec.models.items():
         there = problem.copies.get(name) or problem.replicas.get(name)
-        if there or name in problem.copied or model.weights_mb > problem.spec.disk_mb:
+        if there or name in problem.preloaded or model.weights_mb > problem.spec.disk_mb:
             continue
         swap = _best_swap(
             problem,
             model,
-            second_tokens=COPY_SECOND_TOKENS,
-            most_cost=COPY_LOSS,
+            second_tokens=COPY_COST_PER_S,
+            most_cost=MAX_COPY_COST,
             store_tokens=0.0,
         )
         if swap:
@@ -58,7 +58,7 @@
     return None
 
 
-def _for_needs(problem: PlacementProblem) -> Swap | None:
+def _for_unmet_demand(problem: PlacementProblem) -> Swap | None:
     """Return the load that most requests need: of a model without a replica, or of one more."""
     needs = []
     for name, demand in problem.demand.items():
@@ -66,21 +66,21 @@
             continue
         replicas = problem.replicas.get(name, 0)
         if replicas:
-            overflow = demand.fast_tokens - replicas * REPLICA_CAPACITY
-            needs.append((overflow / REQUEST_TOKENS * OVERFLOW_S, name))
+            overflow = demand.fast_tokens - replicas * REPLICA_CAPACITY_TOKENS_PER_S
+            needs.append((overflow / TOKENS_PER_REQUEST * OVERFLOW_WINDOW_S, name))
         elif demand.waiting:
             needs.append((demand.waiting * (1.0 + demand.waiting_ms / 1000), name))
     for requests, name in sorted(needs, reverse=True):
         if requests <= 0:
             return None
         if problem.replicas.get(name):
-            swap = _one_more(problem, name)
+            swap = _extra_replica(problem, name)
         else:
             swap = _best_swap(
                 problem,
                 problem.spec.models[name],
-                second_tokens=SECOND_TOKENS
-                + problem.demand_of(name).waiting * WAITING_SECOND_TOKENS,
+                second_tokens=FIRST_REPLICA_COST_PER_S
+                + problem.demand_of(name).waiting * WAITING_REQUEST_COST_PER_S,
                 reserve=True,
             )
         if swap:
@@ -88,44 +88,47 @@
     return None
 
 
-def _for_load(problem: PlacementProblem) -> Swap | None:
+def _for_crowded_models(problem: PlacementProblem) -> Swap | None:
     crowded = []
     for name, demand in problem.demand.items():
         replicas = problem.replicas.get(name, 0)
         if replicas and name in problem.spec.models:
             crowded.append((demand.fast_tokens / replicas, name))
     for share, name in sorted(crowded, reverse=True):
-        if share < REPLICA_TOKENS:
+        if share < CROWDED_REPLICA_TOKENS_PER_S:
             return None
-        swap = _one_more(problem, name)
+        swap = _extra_replica(problem, name)
         if swap:
             return swap
     return None
 
 
-def _one_more(problem: PlacementProblem, name: str) -> Swap | None:
+def _extra_replica(problem: PlacementProblem, name: str) -> Swap | None:
     """Return a load that adds a replica, if that gains enough more than it loses."""
     gain = problem.demand_of(name).fast_tokens / (problem.replicas[name] + 1)
     return _best_swap(
         problem,
         problem.spec.models[name],
-        second_tokens=REPLICA_SECOND_TOKENS,
-        shared_part=SHARED_ENGINE_PART,
-        most_cost=gain / HYSTERESIS,
+        second_tokens=EXTRA_REPLICA_COST_PER_S,
+        shared_part=SHARED_ENGINE_WEIGHT,
+        most_cost=gain / HYSTERESIS_RATIO,
     )
 
 
-def _for_room(problem: PlacementProblem) -> Swap | None:
+def _for_free_room(problem: PlacementProblem) -> Swap | None:
     """Return a load that an engine has room for without a victim, as after its restart."""
     wanted = []
     for name, demand in problem.demand.items():
         replicas = problem.replicas.get(name, 0)
         tokens = demand.fast_tokens / (replicas + 1) if replicas else demand.slow_tokens
-        if tokens >= ROOM_TOKENS and name in problem.spec.models:
+        if tokens >= MIN_FREE_ROOM_TOKENS_PER_S and name in problem.spec.models:
             wanted.append((tokens, name))
     for _, name in sorted(wanted, reverse=True):
         swap = _best_swap(
-            problem, problem.spec.models[name], second_tokens=REPLICA_SECOND_TOKENS, victims=False
+            problem,
+            problem.spec.models[name],
+            second_tokens=EXTRA_REPLICA_COST_PER_S,
+            victims=False,
         )
         if swap:
             return swap
@@ -139,7 +142,7 @@
     second_tokens: float,
     shared_part: float = 0.0,
     most_cost: float = math.inf,
-    store_tokens: float = STORE_TOKENS,
+    store_tokens: float = STORE_LOAD_COST,
     reserve: bool = False,
     victims: bool = True,
 ) -> Swap | None:
@@ -147,7 +150,7 @@
     best_cost = most_cost
     best: tuple[EngineSnapshot, Swap] | None = None
     for engine in problem.engines:
-        if not _may_get(problem, engine, model):
+        if not _can_load(problem, engine, model):
             continue
         chosen, loss = _victims_for(problem, engine, model)
         if loss is None or (chosen and not victims):
@@ -155,10 +158,10 @@
         seconds, from_store = load_source(problem.spec, engine, model, chosen)
         if not problem.load_allowed(model.name, seconds, from_store=from_store):
             continue
-        unload_ms = unload_ms_of(problem, engine, chosen)
+        unload_ms = expected_unload_ms(problem, engine, chosen)
         wait_ms = engine.free_in_ms + unload_ms
         cost = loss + (seconds + wait_ms / 1000) * second_tokens
-        cost += shared_part * engine_tokens(problem, engine)
+        cost += shared_part * engine_demand(problem, engine)
         if from_store:
             cost += store_tokens + _store_load_loss(problem, engine, model, seconds)
         if cost <= best_cost:
@@ -175,22 +178,22 @@
         return swap
     if reserve:
         # Nobody with less need may take the engine first.
-        problem.reserved.add(engine.identity)
+        problem.reserved_engines.add(engine.identity)
     return None
 
 
 def _store_load_loss(
     problem: PlacementProblem, engine: EngineSnapshot, model: ModelSpec, seconds: float
 ) -> float:
-    loss = copies_loss_of(problem, engine, model)
+    loss = copy_eviction_loss(problem, engine, model)
     if seconds * 1000 >= LONG_LOAD_MS:
-        loss += seconds * kept_from_loss_of(problem, engine, model)
+        loss += seconds * blocking_loss_per_s(problem, engine, model)
     return loss
 
 
-def _may_get(problem: PlacementProblem, engine: EngineSnapshot, model: ModelSpec) -> bool:
+def _can_load(problem: PlacementProblem, engine: EngineSnapshot, model: ModelSpec) -> bool:
     held = model.name in engine.residents or engine.loading == model.name
-    return engine.usable and not held and engine.identity not in problem.reserved
+    return engine.usable and not held and engine.identity not in problem.reserved_engines
 
 
 def _victims_for(
@@ -200,15 +203,15 @@
     spec = problem.spec
     sizes = {name: weights_mb(spec, name) for name in engine.residents}
     room_mb = spec.weights_mb - sum(sizes.values()) - adapters_mb(spec)
-    room_mb -= sum(weights_mb(spec, name) for name in engine.kept_free if name != model.name)
-    by_loss = sorted(engine.residents, key=lambda name: resident_loss(problem, engine, name))
+    room_mb -= sum(weights_mb(spec, name) for name in engine.reserved_models if name != model.name)
+    by_loss = sorted(engine.residents, key=lambda name: unload_loss(problem, engine, name))
     victims = []
     loss = 0.0
     for name in by_loss:
         if room_mb >= model.weights_mb:
             break
         victims.append(name)
-        loss += resident_loss(problem, engine, name)
+        loss += unload_loss(problem, engine, name)
         room_mb += sizes[name]
     if room_mb < model.weights_mb or loss == math.inf:
         return (), None
--- a/features/steps/atmostonce_key_steps.py
+++ b/features/steps/atmostonce_key_steps.py
@@ -244,11 +244,11 @@
 def check_sweep(context: Context, most: int, steps: int) -> None:
     store = context.desk.site.store()
     sweep = ClaimSweep(
-        store, SystemClock(), keep_ms=DAY_MS, per_second=most, is_on_duty=lambda: True
+        store, SystemClock(), retention_ms=DAY_MS, page_size=most, holds_lease=lambda: True
     )
     for _ in range(steps):
         before = len(store.list(keys.CLAIMS).objects)
-        sweep.step()
+        sweep.sweep_page()
         assert before - len(store.list(keys.CLAIMS).objects) <= 2 * most
     left = [found.key for found in store.list(keys.CLAIMS).objects]
     assert sorted(left) == [keys.claim(f"new-{number}") for number in range(3)], left
--- a/features/steps/direct_adapters_steps.py
+++ b/features/steps/direct_adapters_steps.py
@@ -29,12 +29,12 @@
 
 NAMES = ("a1", "a2", "a3")
 ADAPTERS = dict.fromkeys("ab", NAMES)
-PLACES = 2
-ENGINE_PLACES = 4
-SPEC = engine_spec([model_spec(name, adapters=NAMES) for name in "ab"], adapter_slots=ENGINE_PLACES)
-SOON_S = 3.0
-TURN_S = 0.02
-QUIET_S = 0.5
+SLOTS = 2
+ENGINE_SLOTS = 4
+SPEC = engine_spec([model_spec(name, adapters=NAMES) for name in "ab"], adapter_slots=ENGINE_SLOTS)
+TIMEOUT_S = 3.0
+POLL_INTERVAL_S = 0.02
+OBSERVATION_S = 0.5
 
 
 def _pair(text: str) -> tuple[str, str]:
@@ -50,7 +50,7 @@
         held[model] = names
     came = {(model, name) for model, names in held.items() for name in names}
     recent = frozenset(came) if "just came" in rest else frozenset()
-    return AdapterEngine(identity, held, PLACES, "busy" not in rest, recent)
+    return AdapterEngine(identity, held, SLOTS, "busy" not in rest, recent)
 
 
 @given("the adapter engines {text}")
@@ -77,7 +77,7 @@
 
 @when("engine x is looked at ahead of requests")
 def decide_ahead(context: Context) -> None:
-    context.move = context.placement.ahead(context.engines[0], ADAPTERS)
+    context.move = context.placement.preload(context.engines[0], ADAPTERS)
 
 
 @then("the adapter move is {text}")
@@ -94,15 +94,15 @@
     assert move.victim == (_pair(victim) if victim else None), move
 
 
-class _Keeper:
+class _KeeperWorld:
     """Hold a keeper of adapters before one engine."""
 
     def __init__(self) -> None:
         self.clock = SystemClock()
         residents: dict[str, set[str]] = {"a": set(), "b": set()}
-        self.engine = OrderedEngine(residents=residents, adapter_places=ENGINE_PLACES)
+        self.engine = OrderedEngine(residents=residents, adapter_places=ENGINE_SLOTS)
         lease = OrderLease("me", handover_ms=0, clock=self.clock)
-        lease.taken(
+        lease.acquire(
             LeaseRecord("me", ("127.0.0.1", 1), 1, 1), asked_ms=self.clock.now_ms(), predecessor=""
         )
         self.desk = EngineDesk(
@@ -139,21 +139,21 @@
 
 @given("a keeper of adapters and an engine that holds a and b")
 def make_keeper(context: Context) -> None:
-    context.world = _Keeper()
+    context.world = _KeeperWorld()
 
 
 @when("a/a2 is asked for 4 times and b/a1 once")
 def ask(context: Context) -> None:
-    world: _Keeper = context.world
+    world: _KeeperWorld = context.world
     world.keeper.demand.count("a", "a2", 4)
     world.keeper.demand.count("b", "a1", 1)
 
     async def turns() -> None:
         await world.desk.look()
-        for _ in range(round(SOON_S / TURN_S)):
+        for _ in range(round(TIMEOUT_S / POLL_INTERVAL_S)):
             world.place()
-            await asyncio.sleep(TURN_S)
-            if len(world.held()) == ENGINE_PLACES:
+            await asyncio.sleep(POLL_INTERVAL_S)
+            if len(world.held()) == ENGINE_SLOTS:
                 break
         await asyncio.gather(*world.tasks)
 
@@ -162,15 +162,15 @@
 
 @then("the engine soon holds a/a2, b/a1 and two more, and never more than its places")
 def check_places(context: Context) -> None:
-    world: _Keeper = context.world
+    world: _KeeperWorld = context.world
     assert {"a/a2", "b/a1"} <= world.held(), world.held()
-    assert len(world.held()) == ENGINE_PLACES, world.held()
+    assert len(world.held()) == ENGINE_SLOTS, world.held()
     assert not world.engine.overcommitted, world.engine.most_adapters
 
 
 @when("an adapter is being placed")
 def begin_to_place(context: Context) -> None:
-    world: _Keeper = context.world
+    world: _KeeperWorld = context.world
 
     async def place() -> None:
         await world.desk.look()
@@ -198,16 +198,16 @@
 
 @when("a/a2 is asked for and requests wait for a/a1")
 def ask_and_wait(context: Context) -> None:
-    world: _Keeper = context.world
+    world: _KeeperWorld = context.world
 
     async def turns() -> None:
         await world.desk.look()
         world.place(("a", "a1"))
         await asyncio.gather(*world.tasks)
         world.keeper.demand.count("a", "a2", 4)
-        for _ in range(round(QUIET_S / TURN_S)):
+        for _ in range(round(OBSERVATION_S / POLL_INTERVAL_S)):
             world.place()
-            await asyncio.sleep(TURN_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     run(context, turns())
 
--- a/features/steps/direct_leadership_steps.py
+++ b/features/steps/direct_leadership_steps.py
@@ -17,7 +17,7 @@
 from harness.virtual_time import VirtualClock
 from harness.virtual_time import VirtualTimeLoop
 from harness.virtual_time import run_in_virtual_time
-from mimosaspur_coordination.carrying import news_pause_s
+from mimosaspur_coordination.coordinatorcapacity import update_pause_s
 from mimosaspur_coordination.fleetports import LeaseRecord
 from mimosaspur_daemon.direct.coordinator import Coordinator
 from mimosaspur_daemon.direct.duty import Duty
@@ -91,7 +91,7 @@
     " soonest"
 )
 def check_pause(context: Context, kb: int, hearers: int, pause: int) -> None:
-    pause_s = news_pause_s(context.settings, sent_bytes=kb * 1000, hearers=hearers)
+    pause_s = update_pause_s(context.settings, sent_bytes=kb * 1000, recipients=hearers)
     assert round(pause_s * 1000) == pause, pause_s
 
 
@@ -118,7 +118,7 @@
     state = EntryState(settings_for("coordinator"), ports)
     duty = context.duty = Duty(state)
     duty.lease.clock = clock
-    duty.lease.taken(HELD, asked_ms=clock.now_ms(), predecessor="")
+    duty.lease.acquire(HELD, asked_ms=clock.now_ms(), predecessor="")
     duty.coordinator = Coordinator(state, duty.lease, duty.configurations)
     context.links = [AskedLink() for _ in range(count)]
     for number, link in enumerate(context.links):
--- a/features/steps/direct_orders_steps.py
+++ b/features/steps/direct_orders_steps.py
@@ -17,7 +17,7 @@
 from harness.direct_world import quiet_log
 from harness.loop import run
 from mimosaspur_coordination.fleetports import LeaseRecord
-from mimosaspur_coordination.orderlease import PROOF_MS
+from mimosaspur_coordination.orderlease import CONFIRMATION_VALIDITY_MS
 from mimosaspur_coordination.orderlease import OrderLease
 from mimosaspur_daemon.direct.enginedesk import EngineDesk
 from mimosaspur_platform.engines import PlatformEngines
@@ -68,7 +68,7 @@
 async def _desk(engine: OrderedEngine) -> EngineDesk:
     lease = OrderLease("me", handover_ms=0, clock=HeldClock(1_000))
     record = LeaseRecord("me", ADDRESS, 1, 1)
-    lease.taken(record, asked_ms=1_000, predecessor="")
+    lease.acquire(record, asked_ms=1_000, predecessor="")
     clock = SystemClock()
     log = quiet_log("me")
     desk = EngineDesk(RECORD, port=engine, lease=lease, clock=clock, log=log, changed=lambda: None)
@@ -362,10 +362,10 @@
 def take_over(context: Context, at_ms: int, knowledge: str) -> None:
     context.clock.ms = at_ms
     record = LeaseRecord("me", ADDRESS, 2, 7)
-    context.lease.taken(record, asked_ms=at_ms, predecessor=context.predecessor)
+    context.lease.acquire(record, asked_ms=at_ms, predecessor=context.predecessor)
     if knowledge.startswith("told"):
         last_ms = int("".join(filter(str.isdigit, knowledge)))
-        context.lease.released_by_predecessor(last_order_ms=last_ms)
+        context.lease.on_predecessor_release(last_order_ms=last_ms)
 
 
 @then("its first order may go out at {first_ms:d} ms")
@@ -386,22 +386,22 @@
 
 @when("the lease is read at {at_ms:d} ms")
 def read_lease(context: Context, at_ms: int) -> None:
-    context.lease.seen(LeaseRecord("me", ADDRESS, 2, 7), asked_ms=at_ms)
+    context.lease.update_from_store(LeaseRecord("me", ADDRESS, 2, 7), asked_ms=at_ms)
 
 
 @when("the lease is read at {at_ms:d} ms and another holds it")
 def read_lost_lease(context: Context, at_ms: int) -> None:
-    context.lease.seen(LeaseRecord("other", ADDRESS, 3, 8), asked_ms=at_ms)
+    context.lease.update_from_store(LeaseRecord("other", ADDRESS, 3, 8), asked_ms=at_ms)
 
 
 @when("another entry reads it, asked at {at_ms:d} ms")
 def prove_by_other(context: Context, at_ms: int) -> None:
-    context.lease.proved_by_other(holder="me", token=2, asked_ms=at_ms)
+    context.lease.confirm_from_peer(holder="me", token=2, asked_ms=at_ms)
 
 
 @when("another entry finds another holder, asked at {at_ms:d} ms")
 def disprove_by_other(context: Context, at_ms: int) -> None:
-    context.lease.proved_by_other(holder="other", token=3, asked_ms=at_ms)
+    context.lease.confirm_from_peer(holder="other", token=3, asked_ms=at_ms)
 
 
 @then("at {at_ms:d} ms it {may} order")
@@ -462,7 +462,7 @@
 
 @then("the coordinator goes on with orders beyond its proof")
 def check_goes_on(context: Context) -> None:
-    run(context, asyncio.sleep(PROOF_MS / 1000 + 0.5))
+    run(context, asyncio.sleep(CONFIRMATION_VALIDITY_MS / 1000 + 0.5))
     assert set(run(context, context.two.orders_within(1.5))) == {"entry-0"}
 
 
@@ -473,7 +473,7 @@
 
 @then("no orders are given once the last proof has run out")
 def check_stopped(context: Context) -> None:
-    run(context, asyncio.sleep(PROOF_MS / 1000 + 0.5))
+    run(context, asyncio.sleep(CONFIRMATION_VALIDITY_MS / 1000 + 0.5))
     assert run(context, context.two.orders_within(1.5)) == []
 
 
--- a/features/steps/direct_placement_steps.py
+++ b/features/steps/direct_placement_steps.py
@@ -18,7 +18,7 @@
 from harness.placement_fleets import random_problem
 from harness.placement_oracle import full_next_copy
 from harness.placement_oracle import full_next_swap
-from mimosaspur_coordination.engineroom import EngineRoom
+from mimosaspur_coordination.engineheadroom import EngineHeadroom
 from mimosaspur_coordination.modeldemand import Demand
 from mimosaspur_coordination.modelplacement import PlacementSearch
 from mimosaspur_coordination.modelplacement import next_copy
@@ -37,7 +37,7 @@
     + [model_spec("g", weights_mb=230_000.0), model_spec("h", weights_mb=140_000.0)],
     weights_mb=215_000.0,
 )
-EXAMPLES = 300
+MAX_EXAMPLES = 300
 
 
 def _engine(text: str) -> EngineSnapshot:
@@ -104,7 +104,7 @@
         SPEC,
         context.engines,
         context.demand,
-        store_free=store_free,
+        store_load_allowed=store_free,
         stream_ms=getattr(context, "stream_ms", 0.0),
     )
     context.swap = next_swap(problem)
@@ -136,7 +136,7 @@
         context.engines,
         context.demand,
         idle=when.startswith("before anybody asked"),
-        copied={"h"} if "tried before" in when else (),
+        preloaded={"h"} if "tried before" in when else (),
     )
     context.swap = next_copy(problem)
 
@@ -208,7 +208,7 @@
         ),
     )
 
-    @settings(max_examples=EXAMPLES, derandomize=True, database=None, deadline=None)
+    @settings(max_examples=MAX_EXAMPLES, derandomize=True, database=None, deadline=None)
     @given_any(engines, demands)
     def check(engines: list[EngineSnapshot], demand: dict[str, Demand]) -> None:
         for spec in (SPEC, TIGHT_SPEC):
@@ -262,9 +262,9 @@
         problem = random_problem(random.Random(seed), engines=engines, models=models)
         search = PlacementSearch(problem)
         swap, copy = search.next_swap(), search.next_copy()
-        problem.reserved.clear()
+        problem.reserved_engines.clear()
         assert swap == full_next_swap(problem), seed
-        problem.reserved.clear()
+        problem.reserved_engines.clear()
         assert copy == full_next_copy(problem), seed
         decided += bool(swap) + bool(copy)
     assert decided > examples / 4, "too few of the states lead to a decision"
@@ -278,8 +278,8 @@
 @when("loads are decided")
 def decide_large(context: Context) -> None:
     search = PlacementSearch(context.problem)
-    victims = EngineRoom.victims
-    with mock.patch.object(EngineRoom, "victims", autospec=True, side_effect=victims) as tried:
+    victims = EngineHeadroom.victims
+    with mock.patch.object(EngineHeadroom, "victims", autospec=True, side_effect=victims) as tried:
         context.decided = [search.next_swap(), search.next_copy()]
     context.tried = tried.call_count
 
--- a/features/steps/direct_restored_steps.py
+++ b/features/steps/direct_restored_steps.py
@@ -33,7 +33,7 @@
     context.era = StoreEra(clock=context.clock, log=context.log)
     for each in eras.split(", "):
         context.clock.ms += 100
-        context.era.note(None if each == "none" else each, asked_ms=context.clock.ms - 10)
+        context.era.update(None if each == "none" else each, asked_ms=context.clock.ms - 10)
 
 
 @then("the era is {era:d}, with {lines:d} lines of code 4012")
@@ -46,9 +46,9 @@
 
 @when("an answer of era 3 comes whose call was sent before the restore")
 def note_late(context: Context) -> None:
-    asked_ms = context.era.since_ms - 10
+    asked_ms = context.era.changed_ms - 10
     try:
-        context.era.note("3", asked_ms=asked_ms)
+        context.era.update("3", asked_ms=asked_ms)
     except StoreUnavailable as error:
         context.dropped = str(error)
 
@@ -129,7 +129,7 @@
         while True:
             for entry in self.site.entries:
                 lease = entry.duty.lease
-                if entry.duty.coordinator and lease.proved() and lease.record:
+                if entry.duty.coordinator and lease.is_confirmed() and lease.record:
                     holders = self.holders.setdefault(lease.record.token, set())
                     holders.add(entry.state.settings.instance)
             await asyncio.sleep(0.005)
@@ -203,17 +203,17 @@
     lease: OrderLease = context.lease
     now_ms = context.clock.now_ms()
     if context.predecessor == "another":
-        lease.seen(LeaseRecord("another", ADDRESS, 1, 1), asked_ms=now_ms)
+        lease.update_from_store(LeaseRecord("another", ADDRESS, 1, 1), asked_ms=now_ms)
     if context.predecessor == "me":
-        lease.taken(LeaseRecord("me", ADDRESS, 1, 1), asked_ms=now_ms, predecessor="")
+        lease.acquire(LeaseRecord("me", ADDRESS, 1, 1), asked_ms=now_ms, predecessor="")
     record = None
     if restored.startswith("with a lease"):
         named = "me" if restored.endswith("names it") else "another"
         record = LeaseRecord(named, ADDRESS, 1_000_000, 1, restored=True)
-    lease.seen(record, asked_ms=now_ms)
-    assert not lease.held()
+    lease.update_from_store(record, asked_ms=now_ms)
+    assert not lease.is_holder()
     mine = replace(lease.next_record(ADDRESS), token=1_000_001)
-    lease.taken(mine, asked_ms=now_ms, predecessor=record.holder if record else "")
+    lease.acquire(mine, asked_ms=now_ms, predecessor=record.holder if record else "")
 
 
 @given("a lease with a handover of {handover_ms:d} ms, which {holder} held before")
--- a/features/steps/memory_steps.py
+++ b/features/steps/memory_steps.py
@@ -17,7 +17,7 @@
 from harness.memory_world import MemoryWorld
 from harness.memory_world import stays
 from harness.memory_world import wait_for
-from mimosaspur_coordination.fencing import take_token
+from mimosaspur_coordination.fencing import acquire_token
 from mimosaspur_state import keys
 from mimosaspur_state.placement import ReplicaState
 
@@ -175,7 +175,7 @@
 
 @when("the keeper's successor takes a token")
 def successor_takes_token(context: Context) -> None:
-    take_token(context.memory.store, TARGET, "successor")
+    acquire_token(context.memory.store, TARGET, "successor")
 
 
 @when("the keeper goes on")
--- a/features/steps/scale_any_steps.py
+++ b/features/steps/scale_any_steps.py
@@ -120,7 +120,7 @@
     def put(self, key: str, value: Any) -> None:
         """Let the mirror learn of one change."""
         self.version += 1
-        self.mirror.learn(StoredObject(key, self.version, value))
+        self.mirror.apply_update(StoredObject(key, self.version, value))
 
     def record(self, model: str, replicas: tuple[Replica, ...] | None) -> None:
         """Change a model's record, or delete it."""
@@ -225,7 +225,7 @@
     def scan(self, report: EngineState) -> Situation:
         """Decode and go over all records, as each round did before it remembered any."""
         found = []
-        for item in self.changes.mirror.under(keys.placements(REGION)):
+        for item in self.changes.mirror.list_prefix(keys.placements(REGION)):
             try:
                 found.append((item, placement_from_value(item.value)))
             except msgspec.ValidationError:
--- a/features/steps/scale_steps.py
+++ b/features/steps/scale_steps.py
@@ -156,7 +156,7 @@
 def name_target(context: Context, name: str) -> None:
     context.listing.listed.append(instance(name, ADDRESS))
     item = StoredObject(keys.placement(REGION, "notes"), 1, record("notes", name))
-    context.mirror.learn(item)
+    context.mirror.apply_update(item)
 
 
 @when('the connection to "{name}" is lost and the list gives it a new address')
@@ -192,13 +192,13 @@
     for number in range(count):
         model = f"m{number}"
         item = StoredObject(keys.placement(REGION, model), number + 1, record(model, "t1"))
-        context.mirror.learn(item)
+        context.mirror.apply_update(item)
     context.count = count
     context.cache = RecordCache(context.mirror)
     decoding = mock.patch.object(decoded, "_record_in", wraps=decoded._record_in)
     context.decoding = decoding.start()
     context.add_cleanup(decoding.stop)
-    walks = mock.patch.object(context.mirror, "under", wraps=context.mirror.under)
+    walks = mock.patch.object(context.mirror, "list_prefix", wraps=context.mirror.list_prefix)
     context.walks = walks.start()
     context.add_cleanup(walks.stop)
 
@@ -219,7 +219,7 @@
     changes = (record("m0", "t2"), None, {"model": "m2"})
     for number, value in enumerate(changes):
         key = keys.placement(REGION, f"m{number}")
-        context.mirror.learn(StoredObject(key, version + number, value))
+        context.mirror.apply_update(StoredObject(key, version + number, value))
     found = {item.model: item for _, item in context.cache.readable(PREFIX)}
     context.readable = found
     assert found["m0"].replicas[0].target == "t2"
--- a/packages/cli/src/mimosaspur_cli/instanceoperations.py
+++ b/packages/cli/src/mimosaspur_cli/instanceoperations.py
@@ -11,11 +11,11 @@
 from mimosaspur_coordination import audit
 from mimosaspur_coordination.audit import Action
 from mimosaspur_coordination.audit import Step
+from mimosaspur_coordination.confirmedwrites import WriteOutcome
+from mimosaspur_coordination.confirmedwrites import create_confirmed
+from mimosaspur_coordination.confirmedwrites import delete_confirmed
+from mimosaspur_coordination.confirmedwrites import read_with_retries
 from mimosaspur_coordination.regions import statuses_by_region
-from mimosaspur_coordination.settle import Settlement
-from mimosaspur_coordination.settle import create_settled
-from mimosaspur_coordination.settle import delete_settled
-from mimosaspur_coordination.settle import read_settled
 from mimosaspur_state import keys
 from mimosaspur_state.codes import Outcome
 from mimosaspur_state.codes import ResultCode
@@ -72,7 +72,7 @@
     step = Step(operator, Action.DRAIN, name, reason)
     order = DrainOrder(operator, reason, platform.clock.wall_ms())
     return attempt(
-        lambda: audit.take(
+        lambda: audit.run_audited(
             platform.store, platform.clock, step, lambda: _drain(platform, name, order)
         )
     )
@@ -82,7 +82,9 @@
     """Take back the order that an instance leave."""
     step = Step(operator, Action.UNDRAIN, name)
     return attempt(
-        lambda: audit.take(platform.store, platform.clock, step, lambda: _undrain(platform, name))
+        lambda: audit.run_audited(
+            platform.store, platform.clock, step, lambda: _undrain(platform, name)
+        )
     )
 
 
@@ -123,10 +125,10 @@
     only_ready_of = _only_ready_of(platform, name)
     value = order.to_value()
     key = keys.drain(name)
-    settled = create_settled(platform.store, key, value, lambda stored: bool(stored == value))
-    if settled.settlement is Settlement.DONE:
+    settled = create_confirmed(platform.store, key, value, lambda stored: bool(stored == value))
+    if settled.outcome is WriteOutcome.DONE:
         return DrainResult(name, order, already=False, only_ready_of=only_ready_of)
-    if settled.settlement is Settlement.UNSETTLED or settled.stored is None:
+    if settled.outcome is WriteOutcome.UNSETTLED or settled.stored is None:
         raise MimosaspurError(ResultCode.OUTCOME_UNSETTLED, outcome=Outcome.UNKNOWN)
     earlier = DrainOrder.from_value(settled.stored.value)
     return DrainResult(name, earlier, already=True, only_ready_of=only_ready_of)
@@ -134,11 +136,11 @@
 
 def _undrain(platform: Platform, name: str) -> UndrainResult:
     key = keys.drain(name)
-    stored = read_settled(platform.store, key)
+    stored = read_with_retries(platform.store, key)
     if stored is None:
         return UndrainResult(name, was_drained=False)
-    settled = delete_settled(platform.store, key, stored.version)
-    if settled.settlement is not Settlement.DONE:
+    settled = delete_confirmed(platform.store, key, stored.version)
+    if settled.outcome is not WriteOutcome.DONE:
         raise MimosaspurError(ResultCode.OUTCOME_UNSETTLED, outcome=Outcome.UNKNOWN)
     return UndrainResult(name, was_drained=True)
 
--- a/packages/coordination/src/mimosaspur_coordination/abandonedclaims.py
+++ b/packages/coordination/src/mimosaspur_coordination/abandonedclaims.py
@@ -15,7 +15,7 @@
 # How long a write that had no answer may still take effect, and how many are followed up.
 LATE_WRITE_MS = 30_000
 MAX_ABANDONED = 50
-PAUSE_S = 1.0
+CHECK_INTERVAL_S = 1.0
 PART = "CLAIMS"
 
 
@@ -25,7 +25,7 @@
 
     key: str
     attempt_id: str
-    late: Deadline
+    late_write_deadline: Deadline
 
 
 class AbandonedClaims:
@@ -48,13 +48,13 @@
 
     def run(self, stop: threading.Event) -> None:
         """Release what is found until told to stop."""
-        while not stop.wait(PAUSE_S):
+        while not stop.wait(CHECK_INTERVAL_S):
             for _ in range(len(self.claims)):
                 claim = self.claims.popleft()
-                if not self._settled(claim):
+                if not self._try_resolve(claim):
                     self.claims.append(claim)
 
-    def _settled(self, claim: AbandonedClaim) -> bool:
+    def _try_resolve(self, claim: AbandonedClaim) -> bool:
         try:
             found = self.store.get(claim.key)
             if found and Claim.from_value(found.value).attempt_id == claim.attempt_id:
@@ -65,4 +65,4 @@
         except StoreUnavailable:
             return False
         # Not there, or another's: ours can still arrive once the other's is released.
-        return claim.late.passed()
+        return claim.late_write_deadline.passed()
--- a/packages/coordination/src/mimosaspur_coordination/adapterdemand.py
+++ b/packages/coordination/src/mimosaspur_coordination/adapterdemand.py
@@ -6,19 +6,19 @@
 from mimosaspur_state.clock import Clock
 
 # An adapter's requests are seconds apart: a shorter memory would forget it between two of them.
-FADE_MS = 10_000
+DECAY_MS = 10_000
 
 
 @dataclass(slots=True)
 class _Rate:
     """Hold requests a second as of a time."""
 
-    requests: float = 0.0
+    per_second: float = 0.0
     updated_ms: int = 0
 
     def at(self, now_ms: int) -> float:
         """Return the rate, faded to a time."""
-        return self.requests * math.exp((self.updated_ms - now_ms) / FADE_MS)
+        return self.per_second * math.exp((self.updated_ms - now_ms) / DECAY_MS)
 
 
 class AdapterDemand:
@@ -38,7 +38,7 @@
             self.adapters.setdefault((model, adapter), _Rate()),
             self.models.setdefault(model, _Rate()),
         ):
-            rate.requests = rate.at(now_ms) + requests * 1000 / FADE_MS
+            rate.per_second = rate.at(now_ms) + requests * 1000 / DECAY_MS
             rate.updated_ms = now_ms
 
     def rate(self, model: str, adapter: str) -> float:
--- a/packages/coordination/src/mimosaspur_coordination/adapterroom.py
+++ b/packages/coordination/src/mimosaspur_coordination/adaptermemory.py
@@ -12,7 +12,7 @@
     return [item for item in entry.adapters if item.resident() not in status.residents]
 
 
-def lacks_adapter_room(index: BundleIndex, entry: ModelEntry, status: TargetStatus) -> bool:
+def lacks_adapter_memory(index: BundleIndex, entry: ModelEntry, status: TargetStatus) -> bool:
     """Tell whether a ready replica's next adapter finds no room beside what stays there.
 
     The target loads a new adapter before it unloads the old one. So a replica without that room
@@ -21,12 +21,12 @@
     missing = missing_adapters(entry, status)
     if not missing or not status.free_mb or entry.resident() not in status.residents:
         return False
-    if any(_goes(index, resident, status) for resident in status.residents):
+    if any(_will_be_unloaded(index, resident, status) for resident in status.residents):
         return False
-    return free_beside(entry, status) < missing[0].memory_mb
+    return free_accelerator_mb(entry, status) < missing[0].memory_mb
 
 
-def free_beside(entry: ModelEntry, status: TargetStatus) -> int:
+def free_accelerator_mb(entry: ModelEntry, status: TargetStatus) -> int:
     """Return the memory that is free on each of a replica's accelerators."""
     chosen = accelerators_of(status, entry.resident())
     if chosen:
@@ -36,7 +36,7 @@
     return min(most, default=0)
 
 
-def _goes(index: BundleIndex, resident: str, status: TargetStatus) -> bool:
+def _will_be_unloaded(index: BundleIndex, resident: str, status: TargetStatus) -> bool:
     """Tell whether a resident is about to give its room: its successor is ready or not wanted."""
     served = index.served.get(resident.rpartition("@")[0])
     if served is None:
--- a/packages/coordination/src/mimosaspur_coordination/adapterplacement.py
+++ b/packages/coordination/src/mimosaspur_coordination/adapterplacement.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 
 # An adapter that takes another one's place must be worth so much more, so that they don't swing.
-HYSTERESIS = 2.0
+HYSTERESIS_RATIO = 2.0
 # Requests a second below which an adapter isn't placed ahead.
-LEAST_RATE = 0.01
+MIN_PRELOAD_RATE = 0.01
 
 # Requests a second that are expected for an adapter of a model.
 ExpectedRate = Callable[[str, str], float]
@@ -27,7 +27,7 @@
     identity: str
     # Adapters that are held or on their way, by resident model.
     held: Mapping[str, Collection[str]]
-    places: int
+    slots: int
     # Whether the engine takes an adapter's order now.
     free: bool
     # Adapters that have just come and whose requests may still be on their way.
@@ -56,11 +56,11 @@
 class AdapterPlacement:
     """Decide on adapters from the engines' state and the rates that are expected."""
 
-    __slots__ = ("engines", "expected", "holders")
+    __slots__ = ("engines", "expected_rate", "holders")
 
     def __init__(self, engines: Sequence[AdapterEngine], expected: ExpectedRate) -> None:
         self.engines = engines
-        self.expected = expected
+        self.expected_rate = expected
         self.holders: dict[Adapter, int] = {}
         for engine in engines:
             for model, names in engine.held.items():
@@ -84,11 +84,11 @@
                 best = *cost, AdapterMove(engine.identity, *wanted, victim)
         return best[2] if best else None
 
-    def ahead(
+    def preload(
         self, engine: AdapterEngine, names: Mapping[str, Sequence[str]]
     ) -> AdapterMove | None:
         """Return the most useful adapter that an engine can load before requests wait for it."""
-        if not engine.free or not engine.places:
+        if not engine.free or not engine.slots:
             return None
         candidates = [
             (self._gain((model, name)), (model, name))
@@ -100,13 +100,13 @@
             return None
         gain, (model, name) = max(candidates)
         victim, loss = self._victim(engine)
-        if loss is None or gain < LEAST_RATE or gain < loss * HYSTERESIS:
+        if loss is None or gain < MIN_PRELOAD_RATE or gain < loss * HYSTERESIS_RATIO:
             return None
         return AdapterMove(engine.identity, model, name, victim)
 
     def _victim(self, engine: AdapterEngine) -> tuple[Adapter | None, float | None]:
         """Return what makes room, if something must, and its loss; None if nothing may."""
-        if engine.count() < engine.places:
+        if engine.count() < engine.slots:
             return None, 0.0
         held = [
             (self._loss((model, name)), (model, name))
@@ -120,7 +120,7 @@
         return victim, loss
 
     def _gain(self, adapter: Adapter) -> float:
-        return self.expected(*adapter) / (1 + self.holders.get(adapter, 0))
+        return self.expected_rate(*adapter) / (1 + self.holders.get(adapter, 0))
 
     def _loss(self, adapter: Adapter) -> float:
-        return self.expected(*adapter) / self.holders.get(adapter, 1)
+        return self.expected_rate(*adapter) / self.holders.get(adapter, 1)
--- a/packages/coordination/src/mimosaspur_coordination/audit.py
+++ b/packages/coordination/src/mimosaspur_coordination/audit.py
@@ -7,9 +7,9 @@
 from enum import Enum
 from typing import TypeVar
 
-from mimosaspur_coordination.settle import Settlement
-from mimosaspur_coordination.settle import create_settled
-from mimosaspur_coordination.settle import read_settled
+from mimosaspur_coordination.confirmedwrites import WriteOutcome
+from mimosaspur_coordination.confirmedwrites import create_confirmed
+from mimosaspur_coordination.confirmedwrites import read_with_retries
 from mimosaspur_state import keys
 from mimosaspur_state.clock import Clock
 from mimosaspur_state.codes import ResultCode
@@ -68,7 +68,7 @@
     detail: str
 
 
-def take(store: ObjectStore, clock: Clock, step: Step, do: Callable[[], T]) -> T:
+def run_audited(store: ObjectStore, clock: Clock, step: Step, do: Callable[[], T]) -> T:
     """Record that a step is asked for, take it, and record its outcome.
 
     Raise StoreUnavailable, with the step not taken, if the first record can't be written.
@@ -98,8 +98,8 @@
     )
     value = record.to_value()
     key = keys.audit(record.at_ms, record.record_id)
-    settled = create_settled(store, key, value, lambda stored: bool(stored == value))
-    if settled.settlement is not Settlement.DONE:
+    settled = create_confirmed(store, key, value, lambda stored: bool(stored == value))
+    if settled.outcome is not WriteOutcome.DONE:
         raise StoreUnavailable("the audit record could not be written")
 
 
@@ -110,10 +110,10 @@
     asked = [record for record in records if _is_asked(record)]
     newest = list(reversed(asked))[:limit]
     rolls = _rolls_by_id(store)
-    return [_audited(record, outcomes, rolls) for record in newest]
+    return [_with_outcome(record, outcomes, rolls) for record in newest]
 
 
-def _audited(
+def _with_outcome(
     asked: AuditRecord, outcomes: dict[str, AuditRecord], rolls: dict[str, Roll]
 ) -> AuditedStep:
     step_id = _step_id(asked)
@@ -135,7 +135,7 @@
 
 
 def _rolls_by_id(store: ObjectStore) -> dict[str, Roll]:
-    stored = read_settled(store, keys.HEAD)
+    stored = read_with_retries(store, keys.HEAD)
     if stored is None:
         return {}
     head = Head.from_value(stored.value)
--- a/packages/coordination/src/mimosaspur_coordination/carriers.py
+++ b/packages/coordination/src/mimosaspur_coordination/carriers.py
@@ -43,7 +43,7 @@
         """Name this target as ready; tell whether it is."""
         # Whether the others live is asked anew with every order to leave.
         self.first_seen.clear()
-        if not self.mirror.listed.is_set():
+        if not self.mirror.synced.is_set():
             return False
         record = self._record()
         replica = Replica(self.target, SERVICE_VERSION, ReplicaState.READY)
@@ -89,5 +89,5 @@
         except (StoreUnavailable, VersionConflict):
             # The watch brings what is there now; the next round decides by that.
             return False
-        self.mirror.learn(StoredObject(self.key, version, value))
+        self.mirror.apply_update(StoredObject(self.key, version, value))
         return True
--- a/packages/coordination/src/mimosaspur_coordination/claims.py
+++ b/packages/coordination/src/mimosaspur_coordination/claims.py
@@ -20,12 +20,12 @@
 from mimosaspur_state.records import ClaimState
 from mimosaspur_state.requests import Work
 
-KEPT_BODY_BYTES = 256_000
+MAX_KEPT_BODY_BYTES = 256_000
 RETRY_AFTER_MS = 1000
-SETTLE_TRIES = 3
-SETTLE_MS = 1000
+MAX_STORE_ATTEMPTS = 3
+RETRY_WINDOW_MS = 1000
 # What two instances' clocks may differ by, and a claim's last write may take.
-CLOCK_SKEW_MS = 5000
+MAX_CLOCK_SKEW_MS = 5000
 # Each claim is written twice: when it is taken and when it is finished.
 WRITES_PER_CLAIM = 2
 PART = "CLAIMS"
@@ -56,11 +56,11 @@
         self.clock = clock
         self.target = target
         per_second = writes_per_second / WRITES_PER_CLAIM
-        self.rate = TokenBucket(per_second, clock=clock, burst=per_second)
-        self.down = Deadline(clock, 0)
+        self.rate_limit = TokenBucket(per_second, clock=clock, burst=per_second)
+        self.unavailable_until = Deadline(clock, 0)
         self.abandoned = AbandonedClaims(store, clock)
 
-    def take(self, work: Work, attempt_id: str, deadline_ms: int) -> HeldClaim | Claim:
+    def acquire(self, work: Work, attempt_id: str, deadline_ms: int) -> HeldClaim | Claim:
         """Return the right to run, or a finished claim whose answer is to be replayed.
 
         Raise MimosaspurError when there is neither; deadline_ms is the time left to run.
@@ -80,7 +80,7 @@
 
     def finish(self, held: HeldClaim, status: int, content_type: str, body: bytes) -> None:
         """Keep the answer for later requests with the same key."""
-        kept = body if len(body) <= KEPT_BODY_BYTES else b""
+        kept = body if len(body) <= MAX_KEPT_BODY_BYTES else b""
         done = Claim(
             attempt_id=held.claim.attempt_id,
             request_digest=held.claim.request_digest,
@@ -116,7 +116,7 @@
         )
 
     def _write(self, held: HeldClaim, claim: Claim) -> None:
-        for _ in range(SETTLE_TRIES):
+        for _ in range(MAX_STORE_ATTEMPTS):
             try:
                 held.version = self.store.update(held.key, claim.to_value(), held.version)
                 return
@@ -130,45 +130,45 @@
 
     def _check_reachable(self) -> None:
         # Only one second's requests wait for a silent API to time out; the rest hear at once.
-        if not self.down.passed():
-            raise _platform_down()
+        if not self.unavailable_until.passed():
+            raise _platform_unavailable()
 
     def _check_rate(self) -> None:
-        if not self.rate.take():
-            retry_ms = max(RETRY_AFTER_MS, self.rate.wait_ms())
+        if not self.rate_limit.take():
+            retry_ms = max(RETRY_AFTER_MS, self.rate_limit.wait_ms())
             raise MimosaspurError(ResultCode.CLAIM_RATE, retry_after_ms=retry_ms)
 
     def _create(self, key: str, claim: Claim) -> HeldClaim | Claim:
-        patience = Deadline(self.clock, SETTLE_MS)
-        for number in range(SETTLE_TRIES):
+        patience = Deadline(self.clock, RETRY_WINDOW_MS)
+        for number in range(MAX_STORE_ATTEMPTS):
             try:
                 return HeldClaim(key, self.store.create(key, claim.to_value()), claim)
             except VersionConflict:
                 # It may be our own, from a try whose answer was lost.
-                return self._found(self._read(key, claim), claim)
+                return self._resolve_existing(self._read(key, claim), claim)
             except StoreUnavailable:
                 # A second try goes over a new connection, so it tells silence from an outage.
                 if number and patience.passed():
                     break
-        raise self._give_up(key, claim)
+        raise self._abandon(key, claim)
 
     def _read(self, key: str, claim: Claim) -> StoredObject | None:
-        patience = Deadline(self.clock, SETTLE_MS)
-        for number in range(SETTLE_TRIES):
+        patience = Deadline(self.clock, RETRY_WINDOW_MS)
+        for number in range(MAX_STORE_ATTEMPTS):
             try:
                 return self.store.get(key)
             except StoreUnavailable:
                 # A second try goes over a new connection, so it tells silence from an outage.
                 if number and patience.passed():
                     break
-        raise self._give_up(key, claim)
+        raise self._abandon(key, claim)
 
-    def _give_up(self, key: str, claim: Claim) -> MimosaspurError:
+    def _abandon(self, key: str, claim: Claim) -> MimosaspurError:
         self.abandoned.add(key, claim)
-        self.down = Deadline(self.clock, RETRY_AFTER_MS)
-        return _platform_down()
+        self.unavailable_until = Deadline(self.clock, RETRY_AFTER_MS)
+        return _platform_unavailable()
 
-    def _found(self, found: StoredObject | None, own: Claim) -> HeldClaim | Claim:
+    def _resolve_existing(self, found: StoredObject | None, own: Claim) -> HeldClaim | Claim:
         if found is None:
             # Released between our create and our read: the caller may simply ask again.
             raise MimosaspurError(ResultCode.CLAIM_IN_PROGRESS, retry_after_ms=RETRY_AFTER_MS)
@@ -181,7 +181,7 @@
             raise MimosaspurError(ResultCode.ANSWER_NOT_KEPT, outcome=Outcome.DONE)
         if claim.state is ClaimState.DONE:
             return claim
-        if claim.state is ClaimState.UNKNOWN or is_over(claim, self.clock.wall_ms()):
+        if claim.state is ClaimState.UNKNOWN or is_expired(claim, self.clock.wall_ms()):
             raise MimosaspurError(ResultCode.OUTCOME_UNKNOWN, outcome=Outcome.UNKNOWN)
         raise MimosaspurError(
             ResultCode.CLAIM_IN_PROGRESS,
@@ -191,9 +191,9 @@
         )
 
 
-def is_over(claim: Claim, wall_ms: int) -> bool:
+def is_expired(claim: Claim, wall_ms: int) -> bool:
     """Tell whether whoever took a claim must have ended its run by this time."""
-    return wall_ms > claim.at_ms + claim.deadline_ms + CLOCK_SKEW_MS
+    return wall_ms > claim.at_ms + claim.deadline_ms + MAX_CLOCK_SKEW_MS
 
 
 def answer_body(claim: Claim) -> bytes:
@@ -210,5 +210,5 @@
     return content.hexdigest()
 
 
-def _platform_down() -> MimosaspurError:
+def _platform_unavailable() -> MimosaspurError:
     return MimosaspurError(ResultCode.PLATFORM_DOWN, retry_after_ms=RETRY_AFTER_MS)
--- a/packages/coordination/src/mimosaspur_coordination/claimsweep.py
+++ b/packages/coordination/src/mimosaspur_coordination/claimsweep.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from mimosaspur_coordination.claims import is_over
+from mimosaspur_coordination.claims import is_expired
 from mimosaspur_state import keys
 from mimosaspur_state.clock import Clock
 from mimosaspur_state.errors import StoreUnavailable
@@ -13,10 +13,10 @@
 from mimosaspur_state.objects import StoredObject
 from mimosaspur_state.records import Claim
 
-STEP_S = 1.0
+SWEEP_INTERVAL_S = 1.0
 # Where there are no claims none is old before a new one has been kept for its time: an idle site
 # isn't asked each second, but no later than this.
-EMPTY_STEP_S = 10.0
+MAX_IDLE_INTERVAL_S = 10.0
 
 
 class PagedStore(Protocol):
@@ -42,44 +42,44 @@
         store: PagedStore,
         clock: Clock,
         *,
-        keep_ms: int,
-        per_second: int,
-        is_on_duty: Callable[[], bool],
+        retention_ms: int,
+        page_size: int,
+        holds_lease: Callable[[], bool],
     ) -> None:
         self.store = store
         self.clock = clock
-        self.keep_ms = keep_ms
-        self.per_second = max(1, per_second)
-        self.is_on_duty = is_on_duty
-        self.after = ""
+        self.retention_ms = retention_ms
+        self.page_size = max(1, page_size)
+        self.holds_lease = holds_lease
+        self.cursor = ""
 
     def run(self, stop: threading.Event) -> None:
         """Sweep while on duty, until told to stop."""
-        pause_s = STEP_S
+        pause_s = SWEEP_INTERVAL_S
         while not stop.wait(pause_s):
-            pause_s = STEP_S
-            if self.is_on_duty() and not self.step():
-                pause_s = max(STEP_S, min(EMPTY_STEP_S, self.keep_ms / 1000))
+            pause_s = SWEEP_INTERVAL_S
+            if self.holds_lease() and not self.sweep_page():
+                pause_s = max(SWEEP_INTERVAL_S, min(MAX_IDLE_INTERVAL_S, self.retention_ms / 1000))
 
-    def step(self) -> bool:
+    def sweep_page(self) -> bool:
         """Remove what is old of the next page, from the start after the end; tell if any is left.
 
         A store that doesn't answer has told nothing of that.
         """
-        from_start = not self.after
+        from_start = not self.cursor
         try:
-            page = self.store.page(keys.CLAIMS, after=self.after, limit=self.per_second).objects
+            page = self.store.page(keys.CLAIMS, after=self.cursor, limit=self.page_size).objects
             for found in page:
-                if self._is_old(Claim.from_value(found.value)):
+                if self._is_removable(Claim.from_value(found.value)):
                     self._delete(found)
         except StoreUnavailable:
             return True
-        self.after = page[-1].key if page else ""
+        self.cursor = page[-1].key if page else ""
         return bool(page) or not from_start
 
-    def _is_old(self, claim: Claim) -> bool:
+    def _is_removable(self, claim: Claim) -> bool:
         wall_ms = self.clock.wall_ms()
-        return wall_ms - claim.at_ms > self.keep_ms and is_over(claim, wall_ms)
+        return wall_ms - claim.at_ms > self.retention_ms and is_expired(claim, wall_ms)
 
     def _delete(self, found: StoredObject) -> None:
         try:
--- a/packages/coordination/src/mimosaspur_coordination/carrying.py
+++ b/packages/coordination/src/mimosaspur_coordination/coordinatorcapacity.py
@@ -7,33 +7,35 @@
 from mimosaspur_state.directsettings import DirectSettings
 
 # A machine with so much carries the duty for a hundred entries in a quarter of it.
-ENOUGH_CORES = 0.8
-ENOUGH_LINK_MBPS = 50.0
+FULL_CAPACITY_CORES = 0.8
+FULL_CAPACITY_LINK_MBPS = 50.0
 # A machine that offers next to nothing lets others contend for so much longer. It bounds how much
 # later a fleet of small machines has its next coordinator.
-MOST_STAND_BACK_S = 1.0
+MAX_CANDIDACY_DELAY_S = 1.0
 # The part of a link that news to the other entries may take, since callers' answers need it too.
-NEWS_PART = 0.25
+MAX_UPDATE_LINK_SHARE = 0.25
 # What news may take at each entry that gets it: control is allowed 10 KB a second for a daemon, and
 # its own reports need some of it. Traffic between failure domains is paid for.
-NEWS_BYTES_PER_S = 7_000
+MAX_UPDATE_BYTES_PER_S = 7_000
 
 
-def stand_back_s(settings: DirectSettings) -> float:
+def candidacy_delay_s(settings: DirectSettings) -> float:
     """Return how long this machine lets others take the duty first."""
     parts = [1.0]
     if settings.cores:
-        parts.append(settings.cores / ENOUGH_CORES)
+        parts.append(settings.cores / FULL_CAPACITY_CORES)
     if settings.link_mbps:
-        parts.append(settings.link_mbps / ENOUGH_LINK_MBPS)
-    return MOST_STAND_BACK_S * (1.0 - min(parts))
+        parts.append(settings.link_mbps / FULL_CAPACITY_LINK_MBPS)
+    return MAX_CANDIDACY_DELAY_S * (1.0 - min(parts))
 
 
-def news_pause_s(settings: DirectSettings, *, sent_bytes: int, hearers: int) -> float:
+def update_pause_s(settings: DirectSettings, *, sent_bytes: int, recipients: int) -> float:
     """Return how long news of this size is to be followed by none."""
-    if not hearers:
+    if not recipients:
         return 0.0
-    pause_s = sent_bytes / hearers / NEWS_BYTES_PER_S
+    pause_s = sent_bytes / recipients / MAX_UPDATE_BYTES_PER_S
     if settings.link_mbps:
-        pause_s = max(pause_s, sent_bytes * 8 / (settings.link_mbps * 1_000_000 * NEWS_PART))
+        pause_s = max(
+            pause_s, sent_bytes * 8 / (settings.link_mbps * 1_000_000 * MAX_UPDATE_LINK_SHARE)
+        )
     return pause_s
--- a/packages/coordination/src/mimosaspur_coordination/decoded.py
+++ b/packages/coordination/src/mimosaspur_coordination/decoded.py
@@ -50,7 +50,7 @@
 
     def all(self, prefix: str) -> list[tuple[StoredObject, PlacementRecord]]:
         """Return the records under a prefix by key; raise ValidationError if one is unreadable."""
-        items = self.mirror.under(prefix)
+        items = self.mirror.list_prefix(prefix)
         found = [(item, self._read(item)) for item in items]
         self._forget_absent(prefix, items)
         return found
@@ -61,11 +61,11 @@
         While nothing changes in the mirror it is the same tuple.
         """
         # Counted before the reading: a change in between is then read twice, never missed.
-        changes = self.mirror.changes
+        changes = self.mirror.change_count
         listed = self.listed.get(prefix)
         if listed is not None and listed.changes == changes:
             return listed.found
-        items = self.mirror.under(prefix)
+        items = self.mirror.list_prefix(prefix)
         decoded = [self._decoded(item) for item in items]
         found = tuple((it.item, it.record) for it in decoded if it.record is not None)
         self._forget_absent(prefix, items)
--- a/packages/coordination/src/mimosaspur_coordination/draft.py
+++ b/packages/coordination/src/mimosaspur_coordination/draft.py
@@ -4,8 +4,8 @@
 from functools import cached_property
 from typing import Protocol
 
-from mimosaspur_coordination.adapterroom import lacks_adapter_room
-from mimosaspur_coordination.adapterroom import missing_adapters
+from mimosaspur_coordination.adaptermemory import lacks_adapter_memory
+from mimosaspur_coordination.adaptermemory import missing_adapters
 from mimosaspur_coordination.evictionoptions import EvictionOptions
 from mimosaspur_coordination.layout import Layout
 from mimosaspur_coordination.layout import accelerators_of
@@ -245,7 +245,7 @@
 
     def _lacks_room(self, entry: ModelEntry, replica: Replica) -> bool:
         status = self.view.alive[replica.target]
-        return bool(entry.adapters) and lacks_adapter_room(self.view.index, entry, status)
+        return bool(entry.adapters) and lacks_adapter_memory(self.view.index, entry, status)
 
     def _served(self, model: str) -> bool:
         entry = self.view.index.models.get(model)
--- a/packages/coordination/src/mimosaspur_coordination/fencing.py
+++ b/packages/coordination/src/mimosaspur_coordination/fencing.py
@@ -8,22 +8,22 @@
 from mimosaspur_state.objects import StoredObject
 from mimosaspur_state.records import FencingRecord
 
-TRIES = 5
+MAX_ATTEMPTS = 5
 
 
-def take_token(store: ObjectStore, target: str, incarnation: str) -> int:
+def acquire_token(store: ObjectStore, target: str, incarnation: str) -> int:
     """Return this incarnation's token, newer than all before; raise StoreUnavailable."""
     key = keys.fencing(target)
-    for _ in range(TRIES):
+    for _ in range(MAX_ATTEMPTS):
         item = store.get(key)
         known = FencingRecord.from_value(item.value) if item else FencingRecord(0, "")
         # Reading back our own name settles an answer that was lost.
         if known.incarnation == incarnation:
             return known.token
         record = FencingRecord(known.token + 1, incarnation)
-        if _written(store, key, item, record):
+        if _try_write(store, key, item, record):
             return record.token
-    raise StoreUnavailable(f"{key}: no token after {TRIES} tries")
+    raise StoreUnavailable(f"{key}: no token after {MAX_ATTEMPTS} tries")
 
 
 def newest_token(store: ObjectStore, target: str) -> int:
@@ -32,7 +32,7 @@
     return FencingRecord.from_value(item.value).token if item else 0
 
 
-def _written(
+def _try_write(
     store: ObjectStore, key: str, item: StoredObject | None, record: FencingRecord
 ) -> bool:
     version = item.version if item else ABSENT
--- a/packages/coordination/src/mimosaspur_coordination/lease.py
+++ b/packages/coordination/src/mimosaspur_coordination/lease.py
@@ -54,7 +54,7 @@
         if found is None:
             self.store.create(self.key, self._lease(1).to_value())
             return True
-        if not self._is_mine(found) and not self._stood_still(found):
+        if not self._is_mine(found) and not self._is_expired(found):
             return False
         beat = PlannerLease.from_value(found.value).beat + 1
         self.store.update(self.key, self._lease(beat).to_value(), found.version)
@@ -67,7 +67,7 @@
         lease = PlannerLease.from_value(found.value)
         return (lease.holder, lease.incarnation) == (self.holder, self.incarnation)
 
-    def _stood_still(self, found: StoredObject) -> bool:
+    def _is_expired(self, found: StoredObject) -> bool:
         now_ms = self.clock.now_ms()
         # Every beat is a write, so the version tells whether it stood still.
         if found.version != self.seen_version:
--- a/packages/coordination/src/mimosaspur_coordination/mirror.py
+++ b/packages/coordination/src/mimosaspur_coordination/mirror.py
@@ -9,8 +9,8 @@
 from mimosaspur_state.objects import Snapshot
 from mimosaspur_state.objects import StoredObject
 
-FIRST_PAUSE_MS = 100
-LONGEST_PAUSE_MS = 2000
+INITIAL_BACKOFF_MS = 100
+MAX_BACKOFF_MS = 2000
 MS_PER_SECOND = 1000
 
 Listener = Callable[[StoredObject], None]
@@ -24,34 +24,39 @@
     """
 
     def __init__(
-        self, store: ObjectStore, prefixes: tuple[str, ...], *, wait_ms: int, pace_ms: int = 0
+        self,
+        store: ObjectStore,
+        prefixes: tuple[str, ...],
+        *,
+        wait_ms: int,
+        watch_interval_ms: int = 0,
     ) -> None:
         self.store = store
         self.prefixes = prefixes
         self.wait_ms = wait_ms
         # Each watch counts as a call, so who can wait gathers changes for this long.
-        self.pace_ms = pace_ms
-        self.pause_ms = FIRST_PAUSE_MS
+        self.watch_interval_ms = watch_interval_ms
+        self.backoff_ms = INITIAL_BACKOFF_MS
         self.objects: dict[str, StoredObject] = {}
         self.listeners: list[Listener] = []
         self.lock = threading.Lock()
-        self.listed = threading.Event()
+        self.synced = threading.Event()
         self.reachable = False
         # Who derives things from the copy sees by this whether they still hold.
-        self.changes = 0
+        self.change_count = 0
 
     def get(self, key: str) -> StoredObject | None:
         """Return the copy of an object, or None."""
         with self.lock:
             return self.objects.get(key)
 
-    def under(self, prefix: str) -> list[StoredObject]:
+    def list_prefix(self, prefix: str) -> list[StoredObject]:
         """Return the copies whose keys start with a prefix, by key."""
         with self.lock:
             found = [item for key, item in self.objects.items() if key.startswith(prefix)]
         return sorted(found, key=lambda item: item.key)
 
-    def learn(self, item: StoredObject) -> None:
+    def apply_update(self, item: StoredObject) -> None:
         """Take in an object read or written elsewhere, unless a newer one is known."""
         self._apply(item)
 
@@ -59,11 +64,11 @@
         """List, then watch, until told to stop; list again when the watch loses track."""
         while not stop.is_set():
             try:
-                self._follow(self._list(), stop)
+                self._watch(self._list(), stop)
             except RevisionTooOld:
                 continue
             except StoreUnavailable:
-                self._pause(stop)
+                self._back_off(stop)
 
     def _list(self) -> int:
         snapshots = [self.store.list(prefix) for prefix in self.prefixes]
@@ -71,12 +76,12 @@
         for snapshot in snapshots:
             for item in snapshot.objects:
                 self._apply(item)
-        self._forget_absent(snapshots)
-        self.listed.set()
+        self._remove_absent(snapshots)
+        self.synced.set()
         # The lists were taken one after the other: the watch starts from the oldest.
         return min(snapshot.revision for snapshot in snapshots)
 
-    def _forget_absent(self, snapshots: list[Snapshot]) -> None:
+    def _remove_absent(self, snapshots: list[Snapshot]) -> None:
         present = {item.key for snapshot in snapshots for item in snapshot.objects}
         oldest = min(snapshot.revision for snapshot in snapshots)
         with self.lock:
@@ -88,31 +93,31 @@
         for item in gone:
             self._apply(StoredObject(item.key, oldest, None))
 
-    def _follow(self, revision: int, stop: threading.Event) -> None:
+    def _watch(self, revision: int, stop: threading.Event) -> None:
         wait_ms = self.wait_ms
         while not stop.is_set():
             try:
                 changes = self.store.watch(self.prefixes, revision, wait_ms)
             except StoreUnavailable:
                 # The copy still stands: to watch on is one call, to list again is many.
-                self._pause(stop)
+                self._back_off(stop)
                 # An answer at once tells that the store is back; a wait would hide it.
                 wait_ms = 0
                 continue
             self.reachable = True
             if wait_ms:
-                self.pause_ms = FIRST_PAUSE_MS
+                self.backoff_ms = INITIAL_BACKOFF_MS
             wait_ms = self.wait_ms
             for item in changes.objects:
                 self._apply(item)
             revision = max(revision, changes.revision)
-            if self.pace_ms:
-                stop.wait(self.pace_ms / MS_PER_SECOND)
+            if self.watch_interval_ms:
+                stop.wait(self.watch_interval_ms / MS_PER_SECOND)
 
-    def _pause(self, stop: threading.Event) -> None:
+    def _back_off(self, stop: threading.Event) -> None:
         self.reachable = False
-        stop.wait(self.pause_ms / MS_PER_SECOND)
-        self.pause_ms = min(2 * self.pause_ms, LONGEST_PAUSE_MS)
+        stop.wait(self.backoff_ms / MS_PER_SECOND)
+        self.backoff_ms = min(2 * self.backoff_ms, MAX_BACKOFF_MS)
 
     def _apply(self, item: StoredObject) -> None:
         with self.lock:
@@ -121,7 +126,7 @@
                 return
             if known and known.version > item.version:
                 return
-            self.changes += 1
+            self.change_count += 1
             if item.value is None:
                 self.objects.pop(item.key, None)
             else:
--- a/packages/coordination/src/mimosaspur_coordination/orderlease.py
+++ b/packages/coordination/src/mimosaspur_coordination/orderlease.py
@@ -15,9 +15,9 @@
 from mimosaspur_state.clock import Clock
 
 # A proof lasts so long from when it was asked for.
-PROOF_MS = 2_000
+CONFIRMATION_VALIDITY_MS = 2_000
 # The holder asks for a new proof so often: one may fail without harm.
-RENEW_MS = 900
+RENEWAL_INTERVAL_MS = 900
 # An order and the word of it travel on different ways.
 HANDOVER_SLACK_MS = 100
 
@@ -28,11 +28,11 @@
     __slots__ = (
         "clock",
         "first_order_ms",
-        "forgotten",
+        "record_lost",
         "handover_ms",
         "instance",
         "last_order_ms",
-        "proved_ms",
+        "confirmed_ms",
         "record",
     )
 
@@ -43,53 +43,57 @@
         self.clock = clock
         self.record: LeaseRecord | None = None
         # Whether the store has lost who held the lease last.
-        self.forgotten = False
-        self.proved_ms = 0
+        self.record_lost = False
+        self.confirmed_ms = 0
         self.first_order_ms = 0
         self.last_order_ms = 0
 
-    def seen(self, record: LeaseRecord | None, *, asked_ms: int) -> None:
+    def update_from_store(self, record: LeaseRecord | None, *, asked_ms: int) -> None:
         """Take the lease as the store has it, asked for at a time of this clock."""
-        mine = self.held()
+        mine = self.is_holder()
         if record is None:
-            self.forgotten = self.forgotten or self.record is not None
+            self.record_lost = self.record_lost or self.record is not None
         else:
-            self.forgotten = record.restored
+            self.record_lost = record.restored
         self.record = record
-        if self.held() and mine:
-            self.proved_ms = max(self.proved_ms, asked_ms)
+        if self.is_holder() and mine:
+            self.confirmed_ms = max(self.confirmed_ms, asked_ms)
 
-    def proved_by_other(self, *, holder: str, token: int, asked_ms: int) -> None:
+    def confirm_from_peer(self, *, holder: str, token: int, asked_ms: int) -> None:
         """Take the word of another instance that read the lease after it was asked to."""
-        if self.record and self.held() and (holder, token) == (self.instance, self.record.token):
-            self.proved_ms = max(self.proved_ms, asked_ms)
-
-    def extended(self, *, asked_ms: int) -> None:
+        if (
+            self.record
+            and self.is_holder()
+            and (holder, token) == (self.instance, self.record.token)
+        ):
+            self.confirmed_ms = max(self.confirmed_ms, asked_ms)
+
+    def extend_during_outage(self, *, asked_ms: int) -> None:
         """Take the word of all other entries that none of them reaches the store or contends."""
-        if self.held():
-            self.proved_ms = max(self.proved_ms, asked_ms)
+        if self.is_holder():
+            self.confirmed_ms = max(self.confirmed_ms, asked_ms)
 
-    def taken(self, record: LeaseRecord, *, asked_ms: int, predecessor: str) -> None:
+    def acquire(self, record: LeaseRecord, *, asked_ms: int, predecessor: str) -> None:
         """Take the lease over from another instance, or from an earlier process of this one."""
         now_ms = self.clock.now_ms()
         self.record = record
-        self.proved_ms = asked_ms
+        self.confirmed_ms = asked_ms
         self.first_order_ms = now_ms
-        if self.forgotten or (predecessor and predecessor != self.instance):
-            self.first_order_ms = now_ms + PROOF_MS + self.handover_ms
-        self.forgotten = False
+        if self.record_lost or (predecessor and predecessor != self.instance):
+            self.first_order_ms = now_ms + CONFIRMATION_VALIDITY_MS + self.handover_ms
+        self.record_lost = False
 
-    def reclaimed(self, record: LeaseRecord, *, asked_ms: int) -> None:
+    def reclaim(self, record: LeaseRecord, *, asked_ms: int) -> None:
         """Go on as the holder that the store has forgotten, under a new token.
 
         The last proof must be valid still: whoever took the lease since then waits for longer than
         it lasts before its first order.
         """
         self.record = record
-        self.forgotten = False
-        self.proved_ms = asked_ms
+        self.record_lost = False
+        self.confirmed_ms = asked_ms
 
-    def released_by_predecessor(self, *, last_order_ms: int) -> None:
+    def on_predecessor_release(self, *, last_order_ms: int) -> None:
         """Shorten the wait: the predecessor has told when it gave its last order."""
         first_ms = self.first_order_after(last_order_ms)
         self.first_order_ms = max(self.clock.now_ms(), min(self.first_order_ms, first_ms))
@@ -98,24 +102,26 @@
         """Return when another instance may order after the predecessor's last order."""
         return last_order_ms + self.handover_ms + HANDOVER_SLACK_MS
 
-    def held(self) -> bool:
+    def is_holder(self) -> bool:
         """Tell whether this instance is the last known holder."""
         record = self.record
         return record is not None and record.holder == self.instance and not record.restored
 
-    def proved(self) -> bool:
+    def is_confirmed(self) -> bool:
         """Tell whether nobody else can hold the lease now."""
-        return self.held() and self.clock.now_ms() - self.proved_ms < PROOF_MS
+        return (
+            self.is_holder() and self.clock.now_ms() - self.confirmed_ms < CONFIRMATION_VALIDITY_MS
+        )
 
     def renewal_due(self) -> bool:
         """Tell whether it is time for another proof."""
-        return self.clock.now_ms() - self.proved_ms >= RENEW_MS
+        return self.clock.now_ms() - self.confirmed_ms >= RENEWAL_INTERVAL_MS
 
     def may_order(self) -> bool:
         """Tell whether an order may be sent at this moment."""
-        return self.proved() and self.clock.now_ms() >= self.first_order_ms
+        return self.is_confirmed() and self.clock.now_ms() >= self.first_order_ms
 
-    def ordered(self) -> None:
+    def record_order(self) -> None:
         """Count an order that is sent now."""
         self.last_order_ms = self.clock.now_ms()
 
--- a/packages/coordination/src/mimosaspur_coordination/placementcost.py
+++ b/packages/coordination/src/mimosaspur_coordination/placementcost.py
@@ -5,55 +5,59 @@
 
 from mimosaspur_coordination.placementproblem import EngineSnapshot
 from mimosaspur_coordination.placementproblem import PlacementProblem
-from mimosaspur_coordination.weightcopies import pushed_out
+from mimosaspur_coordination.weightcopies import evicted_copies
 from mimosaspur_state.routes import EngineSpec
 from mimosaspur_state.routes import ModelSpec
 
 # A sole replica counts by its demand over the longer time, times this: losing it means a load
 # before the next request.
-SOLE_WEIGHT = 5.0
+SOLE_REPLICA_WEIGHT = 5.0
 # The same where the model can be back within the objective of its requests: they lose little.
-PATIENT_WEIGHT = 1.0
+RELOADABLE_REPLICA_WEIGHT = 1.0
 # The least that the loss of a sole replica counts otherwise, in tokens a second: a model that
 # nobody asks for now may be asked for by many in the next second.
-SOLE_TOKENS = 1_500.0
+MIN_SOLE_REPLICA_LOSS = 1_500.0
 # From a request that finds no replica to the order that loads one, and from the load's end to the
 # first event.
-COMING_BACK_MS = 400.0
+RELOAD_OVERHEAD_MS = 400.0
 # Running requests hold up an unload; each counts as this much.
-RUNNING_TOKENS = 1_500.0
+RUNNING_REQUEST_LOSS = 1_500.0
 # What a second that a later load takes longer counts as, for a model whose last copy is lost.
-LAST_COPY_SECOND_TOKENS = 2_000.0
+LAST_COPY_COST_PER_S = 2_000.0
 
 
 # Whether a model is asked for again counts over this time: a load lasts for as long as its demand.
-AGAIN_S = 10.0
+REUSE_WINDOW_S = 10.0
 # What a request has, of whatever model, where only tokens are counted.
-REQUEST_TOKENS = 2_000.0
+TOKENS_PER_REQUEST = 2_000.0
 # A second until a model is there again.
-RELOAD_SECOND_TOKENS = 4_000.0
+RELOAD_COST_PER_S = 4_000.0
 
 
-def _back_ms(load_s: float) -> float:
-    return load_s * 1000 + COMING_BACK_MS
+def _reload_ms(load_s: float) -> float:
+    return load_s * 1000 + RELOAD_OVERHEAD_MS
 
 
-def copies_loss_of(problem: PlacementProblem, engine: EngineSnapshot, model: ModelSpec) -> float:
+def copy_eviction_loss(
+    problem: PlacementProblem, engine: EngineSnapshot, model: ModelSpec
+) -> float:
     """Return what is lost with the copies on disk that a load from the weight store pushes out.
 
     A model whose last copy is gone comes back from the weight store too.
     """
     loss = 0.0
-    if not problem.spares_copies:
+    if not problem.protect_last_copies:
         return loss
-    for name in pushed_out(problem.spec, engine, model):
+    for name in evicted_copies(problem.spec, engine, model):
         pushed = problem.spec.models.get(name)
         if pushed and problem.copies.get(name, 0) <= 1 and name != model.name:
-            loss += (pushed.load_s - pushed.disk_load_s) * LAST_COPY_SECOND_TOKENS
+            loss += (pushed.load_s - pushed.disk_load_s) * LAST_COPY_COST_PER_S
     return loss
 
 
-def kept_from_loss_of(problem: PlacementProblem, engine: EngineSnapshot, model: ModelSpec) -> float:
+def blocking_loss_per_s(
+    problem: PlacementProblem, engine: EngineSnapshot, model: ModelSpec
+) -> float:
     """Return what a second costs in which a load keeps an engine from bringing models back.
 
     An engine takes one order at a time. Models without a replica of which it has a copy come back
@@ -64,14 +68,14 @@
         if name == model.name or problem.replicas.get(name):
             continue
         demand = problem.demand_of(name)
-        wanted = 1.0 - math.exp(-demand.slow_tokens / REQUEST_TOKENS * AGAIN_S)
+        wanted = 1.0 - math.exp(-demand.slow_tokens / TOKENS_PER_REQUEST * REUSE_WINDOW_S)
         if demand.waiting:
             wanted = 1.0
         loss += wanted / max(1, problem.copies.get(name, 1))
-    return loss * RELOAD_SECOND_TOKENS
+    return loss * RELOAD_COST_PER_S
 
 
-def engine_tokens(problem: PlacementProblem, engine: EngineSnapshot) -> float:
+def engine_demand(problem: PlacementProblem, engine: EngineSnapshot) -> float:
     """Return the demand that falls to an engine, in tokens a second."""
     return sum(
         problem.demand_of(name).fast_tokens / problem.replicas.get(name, 1)
@@ -79,7 +83,9 @@
     )
 
 
-def unload_ms_of(problem: PlacementProblem, engine: EngineSnapshot, victims: Sequence[str]) -> int:
+def expected_unload_ms(
+    problem: PlacementProblem, engine: EngineSnapshot, victims: Sequence[str]
+) -> int:
     """Return how long an unload waits for the last of the victims' runs.
 
     The last of n runs whose lengths vary widely ends after as many mean lengths as the nth harmonic
@@ -89,13 +95,13 @@
     return round(problem.stream_ms * sum(1 / number for number in range(1, runs + 1)))
 
 
-def resident_loss(problem: PlacementProblem, engine: EngineSnapshot, name: str) -> float:
+def unload_loss(problem: PlacementProblem, engine: EngineSnapshot, name: str) -> float:
     """Return what is lost when an engine unloads a model, infinity if it must not."""
     if name in engine.recent:
         return math.inf
     demand = problem.demand_of(name)
     replicas = problem.replicas.get(name, 1)
-    running = engine.residents.get(name, 0) * RUNNING_TOKENS
+    running = engine.residents.get(name, 0) * RUNNING_REQUEST_LOSS
     if problem.idle and len(engine.residents) > 1:
         return running
     if replicas > 1:
@@ -104,12 +110,14 @@
     if model is None:
         return running
     # What is unloaded stays in memory or on disk for a while.
-    back_ms = _back_ms(model.disk_load_s)
-    again = 1.0 - math.exp(-demand.slow_tokens / REQUEST_TOKENS * AGAIN_S)
-    running += again * back_ms / 1000 * RELOAD_SECOND_TOKENS
+    back_ms = _reload_ms(model.disk_load_s)
+    again = 1.0 - math.exp(-demand.slow_tokens / TOKENS_PER_REQUEST * REUSE_WINDOW_S)
+    running += again * back_ms / 1000 * RELOAD_COST_PER_S
     if demand.objective_ms >= back_ms:
-        return running + max(demand.fast_tokens, demand.slow_tokens * PATIENT_WEIGHT)
-    return running + max(demand.fast_tokens, demand.slow_tokens * SOLE_WEIGHT, SOLE_TOKENS)
+        return running + max(demand.fast_tokens, demand.slow_tokens * RELOADABLE_REPLICA_WEIGHT)
+    return running + max(
+        demand.fast_tokens, demand.slow_tokens * SOLE_REPLICA_WEIGHT, MIN_SOLE_REPLICA_LOSS
+    )
 
 
 def adapters_mb(spec: EngineSpec) -> float:
--- a/packages/coordination/src/mimosaspur_coordination/placementproblem.py
+++ b/packages/coordination/src/mimosaspur_coordination/placementproblem.py
@@ -12,11 +12,11 @@
 
 # What one replica should carry at most, in a common engine's tokens a second: a quarter of an
 # engine's time, which its models share.
-REPLICA_TOKENS = 5_000.0
+CROWDED_REPLICA_TOKENS_PER_S = 5_000.0
 # An engine takes one order at a time: a load of this length keeps it from what is needed next.
 LONG_LOAD_MS = 4_000
 # At most this part of the engines may be kept so for models that few ask for.
-LONG_LOADS_PART = 0.34
+MAX_LONG_LOADS_SHARE = 0.34
 NO_DEMAND = Demand()
 
 
@@ -40,7 +40,7 @@
     in_memory: tuple[str, ...] = ()
     on_disk: tuple[str, ...] = ()
     # Models for which room is kept, since late orders may load them.
-    kept_free: tuple[str, ...] = ()
+    reserved_models: tuple[str, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
@@ -68,20 +68,20 @@
     engines: Sequence[EngineSnapshot]
     demand: Mapping[str, Demand]
     # Whether the weight store's rate allows another load.
-    store_free: bool = True
+    store_load_allowed: bool = True
     # Whether nobody has asked for anything yet, as before a site's first callers.
     idle: bool = False
     # How long a stream lasts once it has begun.
     stream_ms: float = 0.0
     # Whether the last copy of a model's weights is spared.
-    spares_copies: bool = True
+    protect_last_copies: bool = True
     # Models that were loaded for their copies already, which an engine needn't have kept.
-    copied: Collection[str] = ()
+    preloaded: Collection[str] = ()
     replicas: dict[str, int] = field(default_factory=dict)
     # On how many engines a model is held or has a copy.
     copies: dict[str, int] = field(default_factory=dict)
     # Engines that a model waits for.
-    reserved: set[str] = field(default_factory=set)
+    reserved_engines: set[str] = field(default_factory=set)
     # How many engines are kept by long loads.
     long_loads: int = 0
 
@@ -93,18 +93,18 @@
                 self.replicas[model] = self.replicas.get(model, 0) + 1
         self.long_loads = sum(engine.free_in_ms >= LONG_LOAD_MS / 2 for engine in self.engines)
 
-    def any_free(self) -> bool:
+    def any_engine_free(self) -> bool:
         """Tell whether some engine can begin a load now."""
         return any(engine.usable and not engine.free_in_ms for engine in self.engines)
 
     def load_allowed(self, model: str, seconds: float, *, from_store: bool) -> bool:
         """Tell whether a load may begin, for the store's rate and for the engine that it keeps."""
-        if from_store and not self.store_free:
+        if from_store and not self.store_load_allowed:
             return False
         short = seconds * 1000 < LONG_LOAD_MS
-        if short or self.idle or self.demand_of(model).fast_tokens >= REPLICA_TOKENS:
+        if short or self.idle or self.demand_of(model).fast_tokens >= CROWDED_REPLICA_TOKENS_PER_S:
             return True
-        return self.long_loads + 1 <= max(1.0, len(self.engines) * LONG_LOADS_PART)
+        return self.long_loads + 1 <= max(1.0, len(self.engines) * MAX_LONG_LOADS_SHARE)
 
     def demand_of(self, model: str) -> Demand:
         """Return a model's demand."""
--- a/packages/coordination/src/mimosaspur_coordination/rolls.py
+++ b/packages/coordination/src/mimosaspur_coordination/rolls.py
@@ -7,12 +7,12 @@
 from mimosaspur_coordination import audit
 from mimosaspur_coordination.audit import Action
 from mimosaspur_coordination.audit import Step
+from mimosaspur_coordination.confirmedwrites import WriteOutcome
+from mimosaspur_coordination.confirmedwrites import WriteResult
+from mimosaspur_coordination.confirmedwrites import create_confirmed
+from mimosaspur_coordination.confirmedwrites import read_with_retries
+from mimosaspur_coordination.confirmedwrites import update_confirmed
 from mimosaspur_coordination.regions import check_fit_everywhere
-from mimosaspur_coordination.settle import Settled
-from mimosaspur_coordination.settle import Settlement
-from mimosaspur_coordination.settle import create_settled
-from mimosaspur_coordination.settle import read_settled
-from mimosaspur_coordination.settle import update_settled
 from mimosaspur_state import keys
 from mimosaspur_state.bundle import Bundle
 from mimosaspur_state.clock import Clock
@@ -43,13 +43,13 @@
 ) -> WrittenBundle:
     """Write a checked bundle against the generation in force; raise BUNDLE_EXISTS, BAD_BUNDLE."""
     step = Step(operator, Action.WRITE, bundle.name)
-    return audit.take(store, clock, step, lambda: _write(store, clock, bundle, operator))
+    return audit.run_audited(store, clock, step, lambda: _write(store, clock, bundle, operator))
 
 
 def approve(store: ObjectStore, clock: Clock, name: str, *, operator: str) -> Approval:
     """Approve a bundle that another operator wrote; raise UNKNOWN_BUNDLE, SAME_OPERATOR."""
     step = Step(operator, Action.APPROVE, name)
-    return audit.take(store, clock, step, lambda: _approve(store, clock, name, operator))
+    return audit.run_audited(store, clock, step, lambda: _approve(store, clock, name, operator))
 
 
 def roll(
@@ -66,18 +66,20 @@
     OUTCOME_UNSETTLED. The fit check can be left out only while no target's status is known.
     """
     step = Step(operator, Action.ROLL, name, WITHOUT_FIT_CHECK if without_fit_check else "")
-    return audit.take(store, clock, step, lambda: _roll(store, clock, step, without_fit_check))
+    return audit.run_audited(
+        store, clock, step, lambda: _roll(store, clock, step, without_fit_check)
+    )
 
 
 def read_head(store: ObjectStore) -> tuple[Head | None, int]:
     """Return the head and its version, or None and 0 before the first roll."""
-    stored = read_settled(store, keys.HEAD)
+    stored = read_with_retries(store, keys.HEAD)
     return (Head.from_value(stored.value), stored.version) if stored else (None, 0)
 
 
 def read_bundle(store: ObjectStore, name: str) -> WrittenBundle:
     """Return a written bundle; raise UNKNOWN_BUNDLE."""
-    stored = read_settled(store, keys.bundle(name))
+    stored = read_with_retries(store, keys.bundle(name))
     if stored is None:
         raise MimosaspurError(ResultCode.UNKNOWN_BUNDLE, f"Nobody wrote {name!r}.")
     return WrittenBundle.from_value(stored.value)
@@ -85,7 +87,7 @@
 
 def read_approval(store: ObjectStore, name: str) -> Approval | None:
     """Return a bundle's approval, or None."""
-    stored = read_settled(store, keys.approval(name))
+    stored = read_with_retries(store, keys.approval(name))
     return Approval.from_value(stored.value) if stored else None
 
 
@@ -100,7 +102,7 @@
     written = WrittenBundle(bundle, bundle.digest(), operator, clock.wall_ms())
     value = written.to_value()
     key = keys.bundle(bundle.name)
-    settled = create_settled(store, key, value, lambda stored: bool(stored == value))
+    settled = create_confirmed(store, key, value, lambda stored: bool(stored == value))
     stored = _require_settled(settled)
     if stored is None:
         return written
@@ -121,7 +123,7 @@
     approval = Approval(written.digest, operator, clock.wall_ms())
     value = approval.to_value()
     key = keys.approval(name)
-    settled = create_settled(store, key, value, lambda stored: bool(stored == value))
+    settled = create_confirmed(store, key, value, lambda stored: bool(stored == value))
     stored = _require_settled(settled)
     if stored is None:
         return approval
@@ -153,9 +155,9 @@
     history = (head.current, *head.history)[:HISTORY_LENGTH] if head else ()
     value = Head(wanted, history).to_value()
     if head is None:
-        settled = create_settled(store, keys.HEAD, value, is_ours)
+        settled = create_confirmed(store, keys.HEAD, value, is_ours)
     else:
-        settled = update_settled(store, keys.HEAD, value, version, is_ours)
+        settled = update_confirmed(store, keys.HEAD, value, version, is_ours)
     stored = _require_settled(settled)
     if stored is None:
         return RollResult(wanted, already=False)
@@ -166,11 +168,11 @@
     raise MimosaspurError(ResultCode.ROLL_CONFLICT, detail)
 
 
-def _require_settled(settled: Settled) -> StoredObject | None:
+def _require_settled(settled: WriteResult) -> StoredObject | None:
     """Return what another wrote, None if our write is done; raise OUTCOME_UNSETTLED."""
-    if settled.settlement is Settlement.DONE:
+    if settled.outcome is WriteOutcome.DONE:
         return None
-    if settled.settlement is Settlement.UNSETTLED or settled.stored is None:
+    if settled.outcome is WriteOutcome.UNSETTLED or settled.stored is None:
         raise MimosaspurError(ResultCode.OUTCOME_UNSETTLED, outcome=Outcome.UNKNOWN)
     return settled.stored
 
--- a/packages/coordination/src/mimosaspur_coordination/unsettled.py
+++ b/packages/coordination/src/mimosaspur_coordination/unsettled.py
@@ -1,6 +1,6 @@
 """Find the models that need a closer look; all others are as the bundle wants them."""
 
-from mimosaspur_coordination.adapterroom import lacks_adapter_room
+from mimosaspur_coordination.adaptermemory import lacks_adapter_memory
 from mimosaspur_coordination.demand import LOW_WINDOWS
 from mimosaspur_coordination.demand import carried
 from mimosaspur_coordination.view import PlannerView
@@ -34,7 +34,7 @@
 
 def _any_lacks_room(view: PlannerView, entry: ModelEntry, record: PlacementRecord) -> bool:
     statuses = [view.alive[replica.target] for replica in record.replicas]
-    return any(lacks_adapter_room(view.index, entry, status) for status in statuses)
+    return any(lacks_adapter_memory(view.index, entry, status) for status in statuses)
 
 
 def _may_scale(view: PlannerView, entry: ModelEntry) -> bool:
--- a/packages/coordination/src/mimosaspur_coordination/weightcopies.py
+++ b/packages/coordination/src/mimosaspur_coordination/weightcopies.py
@@ -13,7 +13,7 @@
 from mimosaspur_state.routes import ModelSpec
 
 
-class Copies(Protocol):
+class EngineCopies(Protocol):
     """Hold an engine's models and copies, the copies longest unused first."""
 
     @property
@@ -30,17 +30,17 @@
 
 
 def load_source(
-    spec: EngineSpec, engine: Copies, model: ModelSpec, victims: Sequence[str]
+    spec: EngineSpec, engine: EngineCopies, model: ModelSpec, victims: Sequence[str]
 ) -> tuple[float, bool]:
     """Return the seconds a load takes and whether it comes from the weight store."""
-    if model.name in _memory_after(spec, engine, victims):
+    if model.name in _memory_copies_after(spec, engine, victims):
         return model.memory_load_s, False
     if model.name in engine.on_disk:
         return model.disk_load_s, False
     return model.load_s, True
 
 
-def pushed_out(spec: EngineSpec, engine: Copies, model: ModelSpec) -> Sequence[str]:
+def evicted_copies(spec: EngineSpec, engine: EngineCopies, model: ModelSpec) -> Sequence[str]:
     """Return the copies on disk that yield when a model's weights come from the weight store."""
     room_mb = spec.disk_mb - model.weights_mb
     kept_mb = sum(weights_mb(spec, name) for name in engine.on_disk)
@@ -51,7 +51,7 @@
     return engine.on_disk
 
 
-def copy_counts(engines: Iterable[Copies]) -> dict[str, int]:
+def copy_counts(engines: Iterable[EngineCopies]) -> dict[str, int]:
     """Return on how many engines each model is held or has a copy."""
     counts: dict[str, int] = {}
     for engine in engines:
@@ -67,7 +67,9 @@
     return model.weights_mb if model else max(each.weights_mb for each in spec.models.values())
 
 
-def _memory_after(spec: EngineSpec, engine: Copies, victims: Sequence[str]) -> list[str]:
+def _memory_copies_after(
+    spec: EngineSpec, engine: EngineCopies, victims: Sequence[str]
+) -> list[str]:
     """Return the copies in memory once the victims, which leave copies there, are unloaded."""
     copies = [name for name in engine.in_memory if name not in victims]
     copies.extend(victims)
--- a/packages/daemon/src/mimosaspur_daemon/behind.py
+++ b/packages/daemon/src/mimosaspur_daemon/behind.py
@@ -146,7 +146,7 @@
     def gone(self) -> bool:
         """Tell whether no placement record names this target."""
         own = self.settings.instance.name
-        records = self.mirror.under(keys.placements(self.settings.instance.region))
+        records = self.mirror.list_prefix(keys.placements(self.settings.instance.region))
         return not any(
             replica["target"] == own for item in records for replica in item.value["replicas"]
         )
--- a/packages/daemon/src/mimosaspur_daemon/direct/adapterkeeper.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/adapterkeeper.py
@@ -61,7 +61,7 @@
         placement = self._placement(spec, desks)
         begun = False
         for engine in placement.engines:
-            move = placement.ahead(engine, names)
+            move = placement.preload(engine, names)
             if move:
                 begun = True
                 self._begin(desks, move, spec, waiting=False)
--- a/packages/daemon/src/mimosaspur_daemon/direct/coordinator.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/coordinator.py
@@ -176,7 +176,7 @@
 
     def _hear_proof(self, answer: ProofAnswer) -> None:
         if answer.reached_store:
-            self.lease.proved_by_other(
+            self.lease.confirm_from_peer(
                 holder=answer.holder, token=answer.token, asked_ms=answer.asked_ms
             )
             return
@@ -185,7 +185,7 @@
             return
         agreed.add(answer.instance)
         if agreed >= self.required:
-            self.lease.extended(asked_ms=answer.asked_ms)
+            self.lease.extend_during_outage(asked_ms=answer.asked_ms)
 
     def _turn(self) -> None:
         self.engines.update()
@@ -193,7 +193,7 @@
         if not self.lease.may_order():
             return
         self.engines.running = self.members.running()
-        self.demand.wait(self.members.waiting())
+        self.demand.update_waiting(self.members.waiting())
         for service, spec in self.engines.services():
             self._place(service, spec)
 
@@ -236,11 +236,11 @@
             spec,
             self.engines.snapshots(service),
             {model: self.demand.current(model) for model in spec.models},
-            store_free=self.loads.allows(spec.loads_per_s),
+            store_load_allowed=self.loads.allows(spec.loads_per_s),
             idle=self._idle(),
-            copied=self.copied,
+            preloaded=self.copied,
             stream_ms=self._stream_ms(service),
-            spares_copies=self.state.uses(Mechanism.LAST_COPY),
+            protect_last_copies=self.state.uses(Mechanism.LAST_COPY),
         )
 
     def _stream_ms(self, service: str) -> float:
@@ -251,7 +251,7 @@
     def _idle(self) -> bool:
         """Tell whether nobody has asked for anything since this instance began to coordinate."""
         early = self.clock.now_ms() - self.began_ms < IDLE_AFTER_MS
-        return not early and not self.demand.asked()
+        return not early and not self.demand.any_requested()
 
     def _begin(self, swap: Swap) -> None:
         desk = self.engines.desks[swap.identity]
@@ -285,7 +285,7 @@
             requested=any(self._requested(victim) for victim in swap.victims),
         )
         desk.from_store = False
-        if done and swap.for_copy and not self.demand.current(swap.model).last_ms:
+        if done and swap.for_copy and not self.demand.current(swap.model).last_request_ms:
             await self._restore(desk, swap)
         self.state.log.write("swapped", target=swap.identity, model=swap.model, done=done)
 
--- a/packages/daemon/src/mimosaspur_daemon/direct/duty.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/duty.py
@@ -4,7 +4,7 @@
 import contextlib
 import random
 
-from mimosaspur_coordination import carrying
+from mimosaspur_coordination import coordinatorcapacity
 from mimosaspur_coordination.backoff import Backoff
 from mimosaspur_coordination.fleetports import LeaseRecord
 from mimosaspur_coordination.orderlease import OrderLease
@@ -82,9 +82,11 @@
         while True:
             asked_ms = self.lease.clock.now_ms()
             try:
-                self.lease.seen(await self.state.outside.store.read_lease(), asked_ms=asked_ms)
+                self.lease.update_from_store(
+                    await self.state.outside.store.read_lease(), asked_ms=asked_ms
+                )
                 record = self.lease.record
-                if record is None or self.lease.held():
+                if record is None or self.lease.is_holder():
                     await self._take_over()
                 elif record.restored or not await self._follow(record.address):
                     await self._contend(record.token)
@@ -96,7 +98,7 @@
 
     async def _follow_last(self, record: LeaseRecord) -> None:
         """Follow the last known coordinator: the store may fail this instance alone."""
-        if not self.lease.held():
+        if not self.lease.is_holder():
             await self._follow(record.address)
 
     def step_down(self) -> None:
@@ -121,10 +123,10 @@
         asked_ms = self.lease.clock.now_ms()
         record = await self.state.outside.store.write_lease(self.lease.next_record(self.address))
         self.backoff.record_success()
-        forgotten = self.lease.forgotten
-        self.lease.taken(record, asked_ms=asked_ms, predecessor=predecessor)
+        forgotten = self.lease.record_lost
+        self.lease.acquire(record, asked_ms=asked_ms, predecessor=predecessor)
         if self.last_order_ms is not None and not forgotten:
-            self.lease.released_by_predecessor(last_order_ms=self.last_order_ms)
+            self.lease.on_predecessor_release(last_order_ms=self.last_order_ms)
             self.last_order_ms = None
         self.state.log.always("coordinating", token=record.token, predecessor=predecessor)
         await self._coordinate()
@@ -132,12 +134,12 @@
 
     async def _still_free(self) -> bool:
         """Let instances that can carry more take a lease that nobody ever held."""
-        stand_back_s = carrying.stand_back_s(self.state.settings)
+        stand_back_s = coordinatorcapacity.candidacy_delay_s(self.state.settings)
         if not stand_back_s:
             return True
         await asyncio.sleep(stand_back_s)
         asked_ms = self.lease.clock.now_ms()
-        self.lease.seen(await self.state.outside.store.read_lease(), asked_ms=asked_ms)
+        self.lease.update_from_store(await self.state.outside.store.read_lease(), asked_ms=asked_ms)
         return self.lease.record is None
 
     async def _coordinate(self) -> None:
@@ -158,7 +160,7 @@
 
     async def _hold_lease(self, tasks: list[asyncio.Task[None]]) -> None:
         """Prove the lease again and again until another instance holds it."""
-        while self.lease.held() and not self.ended:
+        while self.lease.is_holder() and not self.ended:
             for task in tasks:
                 if task.done():
                     # A failure of these is a fault of ours: it must show.
@@ -186,9 +188,9 @@
             self.renewals.record_failure()
             self._ask_for_proof(everyone=True)
             return
-        proved = self.lease.proved()
-        self.lease.seen(record, asked_ms=asked_ms)
-        if self.lease.forgotten and proved:
+        proved = self.lease.is_confirmed()
+        self.lease.update_from_store(record, asked_ms=asked_ms)
+        if self.lease.record_lost and proved:
             await self._reclaim()
         if self.coordinator:
             self.coordinator.store_reached()
@@ -204,7 +206,7 @@
         except (StoreUnavailable, VersionConflict, TimeoutError) as error:
             self.state.log.always("lease_lost", error=repr(error))
             return
-        self.lease.reclaimed(record, asked_ms=asked_ms)
+        self.lease.reclaim(record, asked_ms=asked_ms)
         self.state.log.always("lease_reclaimed", token=record.token)
 
     def _ask_for_proof(self, *, everyone: bool) -> None:
@@ -269,7 +271,7 @@
     async def _contend(self, token: int) -> None:
         # A process that was only restarted takes the lease back without any wait.
         wait_s = self._contend_after_s() + random.random() * CONTEND_JITTER_S
-        wait_s += carrying.stand_back_s(self.state.settings)
+        wait_s += coordinatorcapacity.candidacy_delay_s(self.state.settings)
         end_s = asyncio.get_running_loop().time() + wait_s
         record = self.lease.record
         while (left_s := end_s - asyncio.get_running_loop().time()) > 0:
--- a/packages/daemon/src/mimosaspur_daemon/direct/knownengine.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/knownengine.py
@@ -162,7 +162,7 @@
 
     async def _give(self, order: EngineOrder, attempt: int) -> OrderOutcome | None:
         """Give an order once; return its outcome, None if it should be given again."""
-        self.lease.ordered()
+        self.lease.record_order()
         outcome = await self.port.order(self.record, order)
         self._log_order(order, outcome)
         if outcome is OrderOutcome.ACCEPTED:
--- a/packages/daemon/src/mimosaspur_daemon/direct/knownengines.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/knownengines.py
@@ -68,7 +68,7 @@
             recent=desk.recent(),
             in_memory=desk.in_memory,
             on_disk=desk.on_disk,
-            kept_free=desk.kept_free(),
+            reserved_models=desk.kept_free(),
         )
 
     def _update_desk(self, desk: EngineDesk | None, record: TargetRecord) -> None:
--- a/packages/daemon/src/mimosaspur_daemon/direct/members.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/members.py
@@ -8,7 +8,7 @@
 
 from msgspec.structs import replace
 
-from mimosaspur_coordination.carrying import news_pause_s
+from mimosaspur_coordination.coordinatorcapacity import update_pause_s
 from mimosaspur_coordination.limits.sharelease import SharerCount
 from mimosaspur_coordination.modelpace import Pace
 from mimosaspur_coordination.modelpace import SharedPaces
@@ -166,7 +166,9 @@
             hearers = [each for each in self.members.values() if self._lacks(each, news)]
         sent_bytes = sum(self._tell_member(member, news) for member in hearers)
         if work_due:
-            pause_s = news_pause_s(self.state.settings, sent_bytes=sent_bytes, hearers=len(hearers))
+            pause_s = update_pause_s(
+                self.state.settings, sent_bytes=sent_bytes, recipients=len(hearers)
+            )
             self.work_due_ms = now_ms + round(pause_s * 1000)
 
     def _sums(self) -> dict[str, WorkAt]:
@@ -181,7 +183,7 @@
     ) -> FleetReport:
         return FleetReport(
             token=lease.record.token if lease.record else 0,
-            ordering=lease.proved(),
+            ordering=lease.is_confirmed(),
             entries=len(self.members),
             work=[],
             residents=[],
@@ -190,7 +192,7 @@
             staying=sum(not each.leaving for each in self.members.values()),
             version=self.state.version(),
             quotas=quotas,
-            sharers=self.sharers.sharer_count() if lease.proved() else 0,
+            sharers=self.sharers.sharer_count() if lease.is_confirmed() else 0,
         )
 
     def _store_to_tell(self) -> StoreTeller | None:
--- a/packages/daemon/src/mimosaspur_daemon/engine_authority.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_authority.py
@@ -87,7 +87,7 @@
         if self.clock.now_ms() < self.ask_at_ms:
             return
         try:
-            self.sender.token = fencing.take_token(self.store, self.target, self.incarnation)
+            self.sender.token = fencing.acquire_token(self.store, self.target, self.incarnation)
         except StoreUnavailable as error:
             self.ask_at_ms = self.clock.now_ms() + TOKEN_PAUSE_MS
             log(PART, "No fencing token yet, so no orders.", error=str(error))
--- a/packages/daemon/src/mimosaspur_daemon/engine_keeper.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_keeper.py
@@ -164,7 +164,7 @@
 
     def _situation(self, report: EngineState) -> Situation | None:
         index = self.current_bundle()
-        if index is None or not self.mirror.listed.is_set():
+        if index is None or not self.mirror.synced.is_set():
             return None
         return self.situations.of(report, index)
 
--- a/packages/daemon/src/mimosaspur_daemon/engine_records.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_records.py
@@ -32,7 +32,7 @@
 
     def change(self, change: Callable[..., object], held: Assignment) -> bool:
         """Make a change in the store; an unsettled one is taken up again in the next round."""
-        learn = self.mirror.learn
+        learn = self.mirror.apply_update
         if not self.answers:
             return False
         try:
@@ -57,7 +57,7 @@
             return False
         record = placement_from_value(found.value) if found else PlacementRecord(model, 0)
         if found:
-            self.mirror.learn(found)
+            self.mirror.apply_update(found)
         if any(replica.version == version for replica in record.on(self.target)):
             return False
         entry = situation.index.models.get(model)
--- a/packages/daemon/src/mimosaspur_daemon/entryrole.py
+++ b/packages/daemon/src/mimosaspur_daemon/entryrole.py
@@ -47,7 +47,7 @@
             self.store,
             prefixes,
             wait_ms=settings.platform.watch_ms,
-            pace_ms=settings.platform.watch_pace_ms,
+            watch_interval_ms=settings.platform.watch_pace_ms,
         )
         self.fetcher = BundleFetcher(self.store, self.holder)
         self.mirror.listeners.append(self.fetcher.head_changed)
@@ -140,8 +140,8 @@
         sweep = ClaimSweep(
             self.store,
             self.clock,
-            keep_ms=self.settings.planner.claim_keep_ms,
-            per_second=self.settings.planner.claims_swept_per_second,
-            is_on_duty=lambda: duty.holds,
+            retention_ms=self.settings.planner.claim_keep_ms,
+            page_size=self.settings.planner.claims_swept_per_second,
+            holds_lease=lambda: duty.holds,
         )
         app.spawn("claimsweep", sweep.run)
--- a/packages/daemon/src/mimosaspur_daemon/planner_duty.py
+++ b/packages/daemon/src/mimosaspur_daemon/planner_duty.py
@@ -99,7 +99,7 @@
         if not self.holds or watch is None or index is None:
             return
         # A copy that may be behind by an outage would move what is well where it is.
-        if not watch.mirror.listed.is_set() or not watch.mirror.reachable:
+        if not watch.mirror.synced.is_set() or not watch.mirror.reachable:
             return
         if self._settle(watch.mirror):
             self._plan(watch, index)
@@ -140,7 +140,7 @@
             prefixes,
             wait_ms=self.settings.platform.watch_ms,
             # Each target's beat would end a watch, and we look only once an interval.
-            pace_ms=self.settings.planner.interval_ms,
+            watch_interval_ms=self.settings.planner.interval_ms,
         )
         self.watch = PlannerWatch(mirror, self.settings)
         self.watch_stop = threading.Event()
@@ -165,7 +165,7 @@
             except StoreUnavailable:
                 return False
             if found:
-                mirror.learn(found)
+                mirror.apply_update(found)
             self.unsettled.discard(key)
         return True
 
@@ -185,7 +185,7 @@
                 self.unsettled.add(key)
                 return
             value = change.new.to_value() if change.new else None
-            watch.mirror.learn(StoredObject(key, version, value))
+            watch.mirror.apply_update(StoredObject(key, version, value))
             placed = view.placed.get(change.model)
             self._report(change, placed.record if placed else None)
 
@@ -196,7 +196,7 @@
                 self.store.delete(item.key, item.version)
             except (StoreUnavailable, VersionConflict):
                 return
-            watch.mirror.learn(StoredObject(item.key, item.version, None))
+            watch.mirror.apply_update(StoredObject(item.key, item.version, None))
             log(PART, "Forgot an instance that is long gone.", key=item.key)
 
     def _decide(self, view: PlannerView) -> list[RecordChange]:
--- a/packages/daemon/src/mimosaspur_daemon/planner_watch.py
+++ b/packages/daemon/src/mimosaspur_daemon/planner_watch.py
@@ -109,7 +109,7 @@
         return [
             item
             for prefix, beats in kept
-            for item in self.mirror.under(prefix)
+            for item in self.mirror.list_prefix(prefix)
             if beats.still_ms(item.key, now_ms) >= limit_ms
         ]
 
@@ -123,7 +123,7 @@
 
     def _alive(self, now_ms: int) -> dict[str, TargetStatus]:
         alive = {}
-        for item in self.mirror.under(keys.statuses(self.region)):
+        for item in self.mirror.list_prefix(keys.statuses(self.region)):
             status = TargetStatus.from_value(item.value)
             # Beats of a target whose engine is silent don't count: what it held is lost too.
             version = item.version if _has_engine_or_service(status) else ENGINE_SILENT
@@ -137,7 +137,7 @@
         return frozenset(said | ordered)
 
     def _reports(self, now_ms: int) -> list[DemandReport]:
-        found = self.mirror.under(keys.demands(self.region))
+        found = self.mirror.list_prefix(keys.demands(self.region))
         return [
             DemandReport.from_value(item.value)
             for item in found
--- a/packages/daemon/src/mimosaspur_daemon/serving.py
+++ b/packages/daemon/src/mimosaspur_daemon/serving.py
@@ -137,7 +137,7 @@
             self.runner.adopt(attempt)
             attempt.end()
             if attempt.submit.work.idempotency_key:
-                held = self.claims.take(
+                held = self.claims.acquire(
                     attempt.submit.work, run_id(attempt), attempt.submit.deadline_ms
                 )
                 self._finish_claim(attempt, held)
@@ -185,7 +185,7 @@
             self.runner.run(attempt, deadline)
             attempt.end()
             return
-        held = self.claims.take(work, run_id(attempt), deadline.left_ms())
+        held = self.claims.acquire(work, run_id(attempt), deadline.left_ms())
         if isinstance(held, Claim):
             _replay(attempt, held)
             return
--- a/packages/daemon/src/mimosaspur_daemon/targetrole.py
+++ b/packages/daemon/src/mimosaspur_daemon/targetrole.py
@@ -116,7 +116,7 @@
             self.store,
             prefixes,
             wait_ms=self.settings.platform.watch_ms,
-            pace_ms=self.settings.platform.watch_pace_ms,
+            watch_interval_ms=self.settings.platform.watch_pace_ms,
         )
 
     def _queue(self) -> AdmissionQueue:
