--- a/features/harness/bundles_world.py
+++ b/features/harness/bundles_world.py
@@ -10,7 +10,7 @@
 
 ENTRIES = ("entry-0", "entry-1")
 TARGETS = ("model-0", "model-1")
-EVERYONE = (*ENTRIES, *TARGETS)
+PROCESSES = (*ENTRIES, *TARGETS)
 SETTLE_REQUESTS = 20
 
 
--- a/features/harness/planner_bundles.py
+++ b/features/harness/planner_bundles.py
@@ -6,8 +6,8 @@
 from mimosaspur_state.bundle import Bundle
 from mimosaspur_state.bundle import ModelEntry
 
-GB = 1000
-OPTIONS = {"r": "replicas", "m": "max_replicas", "p": "priority", "x": "accelerators"}
+MB_PER_GB = 1000
+OPTION_FIELDS = {"r": "replicas", "m": "max_replicas", "p": "priority", "x": "accelerators"}
 
 
 def read_bundle(text: str) -> Bundle:
@@ -26,11 +26,11 @@
         elif option[0] == "a":
             extra["adapters"] = (*extra.get("adapters", ()), read_adapter(option[1:]))
         else:
-            extra[OPTIONS[option[0]]] = int(option[1:])
-    return ModelEntry(name, version, int(gigabytes) * GB, **extra)
+            extra[OPTION_FIELDS[option[0]]] = int(option[1:])
+    return ModelEntry(name, version, int(gigabytes) * MB_PER_GB, **extra)
 
 
 def read_adapter(text: str) -> AdapterEntry:
     """Read an adapter's name, version and size."""
     name, version, gigabytes = text.split(".")
-    return AdapterEntry(name, version, int(gigabytes) * GB)
+    return AdapterEntry(name, version, int(gigabytes) * MB_PER_GB)
--- a/features/harness/planner_target.py
+++ b/features/harness/planner_target.py
@@ -31,55 +31,55 @@
 
 
 @dataclass(slots=True)
-class SimTarget:
+class SimulatedTarget:
     """Hold what a target really has in memory, and where."""
 
     name: str
     domain: str
     capacity_mb: tuple[int, ...]
-    held: dict[tuple[str, str], tuple[Need, tuple[int, ...]]] = field(default_factory=dict)
+    loaded: dict[tuple[str, str], tuple[Need, tuple[int, ...]]] = field(default_factory=dict)
     adapters: dict[tuple[str, str], dict[str, int]] = field(default_factory=dict)
 
     def free_mb(self) -> list[int]:
         """Return what is free on each accelerator."""
         free = list(self.capacity_mb)
-        for need, chosen in self.held.values():
+        for need, chosen in self.loaded.values():
             for index in chosen:
                 free[index] -= need.memory_mb
         return free
 
     def layout(self) -> dict[str, tuple[int, ...]]:
         """Return the accelerators of each resident."""
-        return {f"{model}@{version}": held[1] for (model, version), held in self.held.items()}
+        return {f"{model}@{version}": held[1] for (model, version), held in self.loaded.items()}
 
     def held_mb(self) -> dict[str, int]:
         """Return the memory of each resident on each of its accelerators."""
-        return {f"{m}@{version}": held[0].memory_mb for (m, version), held in self.held.items()}
+        return {f"{m}@{version}": held[0].memory_mb for (m, version), held in self.loaded.items()}
 
-    def drop(self, key: tuple[str, str]) -> None:
+    def unload(self, key: tuple[str, str]) -> None:
         """Unload a model with its adapters."""
-        del self.held[key]
+        del self.loaded[key]
         self.adapters.pop(key, None)
 
-    def add_adapter(self, key: tuple[str, str], name: str, memory_mb: int) -> bool:
+    def load_adapter(self, key: tuple[str, str], name: str, memory_mb: int) -> bool:
         """Load an adapter where its base is; return False if there is no room."""
-        need, chosen = self.held[key]
+        need, chosen = self.loaded[key]
         if any(self.free_mb()[index] < memory_mb for index in chosen):
             return False
         self.adapters[key][name] = memory_mb
-        self.held[key] = (replace(need, memory_mb=need.memory_mb + memory_mb), chosen)
+        self.loaded[key] = (replace(need, memory_mb=need.memory_mb + memory_mb), chosen)
         return True
 
-    def drop_adapter(self, key: tuple[str, str], name: str) -> None:
+    def unload_adapter(self, key: tuple[str, str], name: str) -> None:
         """Unload an adapter."""
-        need, chosen = self.held[key]
+        need, chosen = self.loaded[key]
         memory_mb = self.adapters[key].pop(name)
-        self.held[key] = (replace(need, memory_mb=need.memory_mb - memory_mb), chosen)
+        self.loaded[key] = (replace(need, memory_mb=need.memory_mb - memory_mb), chosen)
 
     def status(self) -> TargetStatus:
         """Report the target."""
         status = target_status(self.name, self.capacity_mb, domain=self.domain)
-        models = [f"{model}@{version}" for model, version in self.held]
+        models = [f"{model}@{version}" for model, version in self.loaded]
         residents = (*models, *(name for on in self.adapters.values() for name in on))
         free = tuple(self.free_mb())
         return TargetStatus(
@@ -93,16 +93,17 @@
         )
 
 
-def any_packing(free_mb: list[int], needs: list[Need]) -> bool:
+def can_pack(free_mb: list[int], needs: list[Need]) -> bool:
     """Try every way to lay needs on accelerators."""
     if not needs:
         return True
     return any(
-        any_packing(left, needs[1:]) for left in _ways(free_mb, needs[0], needs[0].accelerators, 0)
+        can_pack(left, needs[1:])
+        for left in _placements(free_mb, needs[0], needs[0].accelerators, 0)
     )
 
 
-def _ways(free_mb: list[int], need: Need, count: int, start: int) -> list[list[int]]:
+def _placements(free_mb: list[int], need: Need, count: int, start: int) -> list[list[int]]:
     if count == 0:
         return [free_mb]
     found = []
@@ -110,5 +111,5 @@
         if free_mb[index] >= need.memory_mb:
             left = [*free_mb]
             left[index] -= need.memory_mb
-            found += _ways(left, need, count - 1, index + 1)
+            found += _placements(left, need, count - 1, index + 1)
     return found
--- a/features/steps/bundles_rolls_steps.py
+++ b/features/steps/bundles_rolls_steps.py
@@ -10,7 +10,7 @@
 from behave.runner import Context
 
 from harness.bundles_world import ENTRIES
-from harness.bundles_world import EVERYONE
+from harness.bundles_world import PROCESSES
 from harness.bundles_world import SETTLE_REQUESTS
 from harness.bundles_world import TARGETS
 from harness.bundles_world import await_ready
@@ -71,7 +71,7 @@
     # What targets hand over is then older than what the object API has told already.
     for name in TARGETS:
         call(site.relays[name].control, "POST", "/delay", {"ms": HANDOVER_DELAY_MS})
-    cut = itertools.cycle((*TARGETS, *(f"api of {name}" for name in EVERYONE)))
+    cut = itertools.cycle((*TARGETS, *(f"api of {name}" for name in PROCESSES)))
 
     steady = Steady(lambda: site.relays[next(cut)].mode("cut"), pause_s=CUT_EVERY_S)
     try:
--- a/features/steps/bundles_steps.py
+++ b/features/steps/bundles_steps.py
@@ -9,7 +9,7 @@
 from behave.runner import Context
 
 from harness.bundles_world import ENTRIES
-from harness.bundles_world import EVERYONE
+from harness.bundles_world import PROCESSES
 from harness.bundles_world import SETTLE_REQUESTS
 from harness.bundles_world import TARGETS
 from harness.bundles_world import await_generation
@@ -44,13 +44,13 @@
     roll_notes(context, 1)
     for name in ENTRIES:
         site.await_served(name, "notes")
-    await_generation(context, EVERYONE, 1)
+    await_generation(context, PROCESSES, 1)
 
 
 @given('only "{first}" still reaches the object API')
 def cut_ways(context: Context, first: str) -> None:
     context.first = first
-    for name in EVERYONE:
+    for name in PROCESSES:
         if name != first:
             context.site.relays[f"api of {name}"].mode("refuse")
 
@@ -85,7 +85,7 @@
     await_generation(context, (first,), 2)
     assert outage == "the object API goes down", outage
     break_api(context)
-    for name in EVERYONE:
+    for name in PROCESSES:
         context.site.relays[f"api of {name}"].mode("pass")
 
 
@@ -128,18 +128,18 @@
 
 @then("every other process has the new generation too")
 def check_spread(context: Context) -> None:
-    await_generation(context, EVERYONE, 2)
+    await_generation(context, PROCESSES, 2)
 
 
 @then("every process has the generation {wanted:d}")
 def check_everyone(context: Context, wanted: int) -> None:
-    await_generation(context, EVERYONE, wanted)
-    assert all(generation(context.site, name) == wanted for name in EVERYONE)
+    await_generation(context, PROCESSES, wanted)
+    assert all(generation(context.site, name) == wanted for name in PROCESSES)
 
 
 @then("every process has the new generation within {seconds:d} s of the roll")
 def check_in_time(context: Context, seconds: int) -> None:
-    await_generation(context, EVERYONE, 2)
+    await_generation(context, PROCESSES, 2)
     took_s = time.monotonic() - context.rolled_at
     print(f"measured: in force everywhere {took_s * 1000:.0f} ms after the roll")
     assert took_s < seconds, f"{took_s} s"
--- a/features/steps/planner_any_steps.py
+++ b/features/steps/planner_any_steps.py
@@ -13,9 +13,9 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from harness.planner_bundles import GB
+from harness.planner_bundles import MB_PER_GB
 from harness.planner_bundles import read_bundle
-from harness.planner_world import World
+from harness.planner_world import SimulatedRegion
 from mimosaspur_coordination.fit import check_fit
 from mimosaspur_state.bundle import AdapterEntry
 from mimosaspur_state.bundle import Bundle
@@ -24,7 +24,7 @@
 
 EXAMPLES = 60
 ROUNDS = 400
-ANY_ORDER = settings(
+ANY_ORDER_SETTINGS = settings(
     derandomize=True,
     database=None,
     max_examples=EXAMPLES,
@@ -32,7 +32,9 @@
     suppress_health_check=list(HealthCheck),
 )
 # Shrinking a failure would take minutes, and the message shows the whole state.
-CONVERGES = settings(ANY_ORDER, max_examples=4 * EXAMPLES, phases=(Phase.explicit, Phase.generate))
+CONVERGENCE_SETTINGS = settings(
+    ANY_ORDER_SETTINGS, max_examples=4 * EXAMPLES, phases=(Phase.explicit, Phase.generate)
+)
 
 
 def entries_of(accelerators: int) -> st.SearchStrategy[ModelEntry]:
@@ -40,7 +42,7 @@
         ModelEntry,
         st.sampled_from("abcdef"),
         st.sampled_from("123"),
-        st.integers(1, 5).map(lambda size: size * GB),
+        st.integers(1, 5).map(lambda size: size * MB_PER_GB),
         accelerators=st.integers(1, min(2, accelerators)),
         replicas=st.integers(1, 2),
         priority=st.integers(0, 3),
@@ -58,7 +60,7 @@
 
 
 def capacities_of(accelerators: int) -> st.SearchStrategy[list[tuple[int, ...]]]:
-    sizes = st.integers(4, 10).map(lambda size: size * GB)
+    sizes = st.integers(4, 10).map(lambda size: size * MB_PER_GB)
     target = st.lists(sizes, min_size=1, max_size=accelerators).map(tuple)
     return st.lists(target, min_size=2, max_size=4)
 
@@ -67,7 +69,7 @@
 CAPACITIES = capacities_of(3)
 
 
-def fits(bundle: Bundle, in_force: Bundle | None, world: World) -> bool:
+def fits(bundle: Bundle, in_force: Bundle | None, world: SimulatedRegion) -> bool:
     try:
         check_fit(bundle, in_force, [target.status() for target in world.targets.values()])
     except MimosaspurError:
@@ -75,7 +77,7 @@
     return True
 
 
-def size_is_by_version(bundles: list[Bundle]) -> bool:
+def sizes_match_by_version(bundles: list[Bundle]) -> bool:
     sizes: dict[str, tuple[int, int]] = {}
     for bundle in bundles:
         for model in bundle.models:
@@ -85,18 +87,18 @@
     return True
 
 
-def act(world: World, data: st.DataObject, bundles: list[Bundle]) -> None:
+def apply_random_event(world: SimulatedRegion, data: st.DataObject, bundles: list[Bundle]) -> None:
     names = sorted(world.targets)
     kind = data.draw(st.sampled_from(["plan", "plan", "answer", "report", "kill", "drain", "roll"]))
     if kind == "plan":
-        changes = world.decide()
+        changes = world.run_planner()
         for change in data.draw(st.permutations(changes)):
             if data.draw(st.booleans()):
-                world.write(change)
+                world.apply_change(change)
     elif kind == "answer":
-        world.answer(data.draw(st.sampled_from(names)))
+        world.apply_records(data.draw(st.sampled_from(names)))
     elif kind == "report":
-        world.report(data.draw(st.sampled_from(names)))
+        world.write_status(data.draw(st.sampled_from(names)))
     elif kind == "kill" and not world.dead:
         world.dead.add(data.draw(st.sampled_from(names)))
     elif kind == "drain" and not world.draining:
@@ -107,7 +109,7 @@
 
 @then("a plan in any order keeps the last replicas, the limits and the memory")
 def step_any_order(context: Context) -> None:
-    @ANY_ORDER
+    @ANY_ORDER_SETTINGS
     @given_any(st.data(), CAPACITIES, st.lists(BUNDLES, min_size=1, max_size=3), st.integers(1, 3))
     def run(
         data: st.DataObject,
@@ -115,18 +117,18 @@
         bundles: list[Bundle],
         at_once: int,
     ) -> None:
-        if not size_is_by_version(bundles):
+        if not sizes_match_by_version(bundles):
             return
-        world = World(capacities, at_once)
+        world = SimulatedRegion(capacities, at_once)
         left = list(bundles)
         world.roll(left.pop())
         for _ in range(data.draw(st.integers(5, 40))):
-            act(world, data, left)
+            apply_random_event(world, data, left)
 
     run()
 
 
-def settle_both(world: World, first: Bundle, second: Bundle, counted: Counter[str]) -> None:
+def roll_both(world: SimulatedRegion, first: Bundle, second: Bundle, counted: Counter[str]) -> None:
     """Roll two bundles that pass the check, and have each get ready; count those that pass."""
     in_force = None
     for which, bundle in (("first", first), ("second", second)):
@@ -134,7 +136,7 @@
             return
         counted[which] += 1
         world.roll(bundle)
-        assert world.settle(ROUNDS), f"the {which} never got ready: {world.records}"
+        assert world.run_until_ready(ROUNDS), f"the {which} never got ready: {world.records}"
         in_force = bundle
 
 
@@ -142,12 +144,12 @@
 def step_converges(context: Context, accelerators: int) -> None:
     counted = Counter(first=0, second=0)
 
-    @CONVERGES
+    @CONVERGENCE_SETTINGS
     @given_any(capacities_of(accelerators), *bundles_of(accelerators), st.integers(1, 3))
     def run(capacities: list[tuple[int, ...]], first: Bundle, second: Bundle, at_once: int) -> None:
-        world = World(capacities, at_once)
-        if size_is_by_version([first, second]):
-            settle_both(world, first, second, counted)
+        world = SimulatedRegion(capacities, at_once)
+        if sizes_match_by_version([first, second]):
+            roll_both(world, first, second, counted)
 
     run()
     assert min(counted.values()) >= EXAMPLES // 4, f"too few runs that tell: {counted}"
@@ -159,7 +161,7 @@
     for number, model in enumerate(bundle.models):
         own = versions[2 * number : 2 * number + 2]
         adapters = tuple(
-            AdapterEntry(f"{model.name}-{place}", str(version), version * GB)
+            AdapterEntry(f"{model.name}-{place}", str(version), version * MB_PER_GB)
             for place, version in enumerate(own)
             if version
         )
@@ -172,7 +174,7 @@
     counted = Counter(first=0, second=0)
     versions = st.lists(st.integers(0, 2), min_size=10, max_size=10)
 
-    @CONVERGES
+    @CONVERGENCE_SETTINGS
     @given_any(CAPACITIES, BUNDLES, versions, versions, st.integers(1, 3))
     def run(
         capacities: list[tuple[int, ...]],
@@ -181,10 +183,10 @@
         new: list[int],
         at_once: int,
     ) -> None:
-        world = World(capacities, at_once)
+        world = SimulatedRegion(capacities, at_once)
         first = with_adapters(bundle, old)
         second = with_adapters(bundle, new)
-        settle_both(world, first, second, counted)
+        roll_both(world, first, second, counted)
 
     run()
     assert min(counted.values()) >= EXAMPLES // 4, f"too few runs that tell: {counted}"
@@ -192,8 +194,10 @@
 
 @given('a plan for a region of "{sizes}" with {at_once:d} loads at once')
 def step_region(context: Context, sizes: str, at_once: int) -> None:
-    capacities = [tuple(int(gb) * GB for gb in target.split("/")) for target in sizes.split()]
-    context.world = World(capacities, at_once)
+    capacities = [
+        tuple(int(gb) * MB_PER_GB for gb in target.split("/")) for target in sizes.split()
+    ]
+    context.world = SimulatedRegion(capacities, at_once)
 
 
 @given('a plan that ended with "{text}" ready')
@@ -201,7 +205,7 @@
     context.in_force = read_bundle(text)
     assert fits(context.in_force, None, context.world), "the first doesn't pass the check"
     context.world.roll(context.in_force)
-    assert context.world.settle(ROUNDS), f"the first never got ready: {context.world.records}"
+    assert context.world.run_until_ready(ROUNDS), f"never got ready: {context.world.records}"
 
 
 @when('a plan goes on to "{text}" if it passes the check')
@@ -211,7 +215,7 @@
         context.end = "is refused"
         return
     context.world.roll(bundle)
-    ready = context.world.settle(ROUNDS)
+    ready = context.world.run_until_ready(ROUNDS)
     context.end = "ends ready" if ready else f"never got ready: {context.world.records}"
 
 
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -9,10 +9,10 @@
 from behave import when
 from behave.runner import Context
 
-from harness.planner_bundles import GB
+from harness.planner_bundles import MB_PER_GB
 from harness.planner_bundles import read_bundle
 from harness.planner_target import target_status
-from harness.planner_world import Tokens
+from harness.planner_world import FixedTokens
 from mimosaspur_coordination.fit import check_fit
 from mimosaspur_coordination.planner import plan
 from mimosaspur_coordination.view import DemandSum
@@ -34,7 +34,7 @@
 
 def read_target(text: str) -> tuple[TargetStatus, str]:
     name, domain, sizes, *mark = text.split(":")
-    capacity = tuple(int(size) * GB for size in sizes.split("/"))
+    capacity = tuple(int(size) * MB_PER_GB for size in sizes.split("/"))
     said = mark[0] if mark else ""
     kind = "service" if said == "service" else "engine"
     return target_status(name, capacity, domain=domain, kind=kind), said
@@ -106,7 +106,7 @@
 
 @given("a plan with {at_once:d} loads at once and {tokens:d} tokens")
 def step_limits(context: Context, at_once: int, tokens: int) -> None:
-    context.view.at_once = at_once
+    context.view.max_concurrent_loads = at_once
     context.tokens = tokens
 
 
@@ -139,7 +139,7 @@
 
 @when("the planner decides")
 def step_decide(context: Context) -> None:
-    context.changes = plan(context.view, Tokens(context.tokens))
+    context.changes = plan(context.view, FixedTokens(context.tokens))
 
 
 @then('the planner writes ""')
@@ -153,17 +153,17 @@
 
 
 def check_written(context: Context, text: str) -> None:
-    found = [mark for change in context.changes for mark in marks(context.view, change)]
+    found = [mark for change in context.changes for mark in change_marks(context.view, change)]
     assert sorted(found) == sorted(text.split()), f"{found}, not {text}: {context.changes}"
 
 
 @then("the planner starts {count:d} loads")
 def step_loads(context: Context, count: int) -> None:
-    found = [mark for change in context.changes for mark in marks(context.view, change)]
+    found = [mark for change in context.changes for mark in change_marks(context.view, change)]
     assert len([mark for mark in found if "+" in mark]) == count, found
 
 
-def marks(view: PlannerView, change: RecordChange) -> list[str]:
+def change_marks(view: PlannerView, change: RecordChange) -> list[str]:
     placed = view.placed.get(change.model)
     assert change.record_version == (placed.version if placed else 0)
     if change.new is None:
@@ -180,15 +180,15 @@
 
 @when('a plan from "" to "{bundle}" is checked')
 def step_check_first(context: Context, bundle: str) -> None:
-    context.said = said_by_check(context, None, bundle)
+    context.said = fit_error(context, None, bundle)
 
 
 @when('a plan from "{in_force}" to "{bundle}" is checked')
 def step_check(context: Context, in_force: str, bundle: str) -> None:
-    context.said = said_by_check(context, read_bundle(in_force), bundle)
+    context.said = fit_error(context, read_bundle(in_force), bundle)
 
 
-def said_by_check(context: Context, in_force: Bundle | None, bundle: str) -> str:
+def fit_error(context: Context, in_force: Bundle | None, bundle: str) -> str:
     try:
         check_fit(read_bundle(bundle), in_force, [status for status, _ in context.targets])
     except MimosaspurError as error:
--- a/features/steps/reachability_records_steps.py
+++ b/features/steps/reachability_records_steps.py
@@ -74,7 +74,7 @@
     value = {"name": "one", "models": [{"name": "a", "version": "1", "memory_mb": 1}]}
     bundle: Bundle = bundle_from_value(value)
     leave: Callable[..., bool] = partial(
-        replicas.leave, index=BundleIndex.build(1, bundle), learn=lambda item: None
+        replicas.remove_replaced, index=BundleIndex.build(1, bundle), on_update=lambda item: None
     )
     context.left[target] = leave(context.site.store(), context.copies[target], target, "1")
 
--- a/features/steps/scale_any_steps.py
+++ b/features/steps/scale_any_steps.py
@@ -39,9 +39,9 @@
 
 REGION = "alajuela"
 SERVICE = "bookings"
-HERE = "t0"
+OWN_TARGET = "t0"
 EXAMPLES = 150
-MOST_EVENTS = 25
+MAX_EVENTS = 25
 TARGETS = st.sampled_from(["t0", "t1", "t2", "t3", "t4"])
 VERSIONS = st.sampled_from("123")
 MODELS = st.sampled_from(["notes", "maps"])
@@ -51,8 +51,10 @@
     max_size=4,
     unique_by=lambda replica: (replica.target, replica.version),
 ).map(tuple)
-SAID = st.lists(st.sampled_from([*RESIDENTS, service_resident(SERVICE)]), max_size=3).map(tuple)
-LISTS = st.dictionaries(TARGETS, st.integers(1, 2), max_size=5)
+RESIDENT_TUPLES = st.lists(
+    st.sampled_from([*RESIDENTS, service_resident(SERVICE)]), max_size=3
+).map(tuple)
+TARGET_PORTS = st.dictionaries(TARGETS, st.integers(1, 2), max_size=5)
 
 Event = tuple[str, Any, Any]
 
@@ -74,10 +76,10 @@
 DIRECTORY_EVENTS = st.one_of(
     RECORD_EVENTS,
     st.tuples(st.just("carrier"), st.just(SERVICE), REPLICAS),
-    st.tuples(st.just("list"), LISTS, st.none()),
-    st.tuples(st.just("said"), TARGETS, SAID),
-    st.tuples(st.just("said late"), TARGETS, SAID),
-    st.tuples(st.just("resident"), TARGETS, SAID),
+    st.tuples(st.just("list"), TARGET_PORTS, st.none()),
+    st.tuples(st.just("said"), TARGETS, RESIDENT_TUPLES),
+    st.tuples(st.just("said late"), TARGETS, RESIDENT_TUPLES),
+    st.tuples(st.just("resident"), TARGETS, RESIDENT_TUPLES),
     st.tuples(st.just("lost"), TARGETS, st.none()),
     st.tuples(st.just("busy"), TARGETS, st.integers(0, 1)),
 )
@@ -110,7 +112,7 @@
 )
 
 
-class Changes:
+class MirrorChanges:
     """Make records' changes in a mirror."""
 
     def __init__(self) -> None:
@@ -128,13 +130,13 @@
         self.put(keys.placement(REGION, model), value)
 
 
-class DirectoryWorld:
+class DirectoryComparison:
     """Let a directory see events, and ask it and the scan the same."""
 
     def __init__(self) -> None:
-        self.changes = Changes()
+        self.changes = MirrorChanges()
         self.directory = TargetDirectory(self.changes.mirror, region=REGION)
-        self.former: dict[str, Any] = {}
+        self.former_hints: dict[str, Any] = {}
 
     def apply(self, event: Event) -> None:
         """Let one event happen."""
@@ -146,19 +148,19 @@
             value = PlacementRecord(what, 1, how).to_value()
             self.changes.put(keys.carrier(REGION, what), value)
         elif kind == "list":
-            self.former.update(hints)
+            self.former_hints.update(hints)
             listed = [
                 Instance(name, "target", f"127.0.0.1:{port}", REGION, "d", False)
                 for name, port in what.items()
             ]
             self.directory.update(listed)
-        elif kind == "said late" and what in self.former:
+        elif kind == "said late" and what in self.former_hints:
             # The connection to an address that is left may still tell something.
-            self.former[what].on_connect(False, how)
+            self.former_hints[what].on_connect(False, how)
         elif what in hints:
-            self._tell(kind, hints[what], how)
+            self._apply_to_hint(kind, hints[what], how)
 
-    def _tell(self, kind: str, hint: Any, how: Any) -> None:
+    def _apply_to_hint(self, kind: str, hint: Any, how: Any) -> None:
         if kind == "said":
             hint.on_connect(False, how)
         elif kind == "resident":
@@ -175,8 +177,10 @@
                 item = self.changes.mirror.get(keys.placement(REGION, served.model.name))
                 record = placement_from_value(item.value) if item else None
                 scanned = candidates_for(served, record, self.directory.hints)
-                assert pairs(self.directory.for_model(served)) == pairs(scanned)
-        assert pairs(self.directory.for_service(SERVICE)) == pairs(self.scan_service())
+                assert candidate_keys(self.directory.for_model(served)) == candidate_keys(scanned)
+        assert candidate_keys(self.directory.for_service(SERVICE)) == candidate_keys(
+            self.scan_service()
+        )
 
     def scan_service(self) -> list[Candidate]:
         """Go over all hints, as the directory did before it had an index."""
@@ -191,16 +195,16 @@
         ]
 
 
-def pairs(candidates: list[Candidate]) -> list[tuple[int, str]]:
+def candidate_keys(candidates: list[Candidate]) -> list[tuple[int, str]]:
     return [(id(candidate.hint), candidate.resident) for candidate in candidates]
 
 
-class KeeperWorld:
+class SituationComparison:
     """Let a keeper's situations see events, and ask them and the scan the same."""
 
     def __init__(self) -> None:
-        self.changes = Changes()
-        self.situations = Situations(self.changes.mirror, region=REGION, target=HERE)
+        self.changes = MirrorChanges()
+        self.situations = Situations(self.changes.mirror, region=REGION, target=OWN_TARGET)
         self.index = INDEXES["1"]
         self.residents: tuple[Resident, ...] = ()
 
@@ -231,14 +235,14 @@
             except msgspec.ValidationError:
                 continue
         known = [record for _, record in found]
-        assignments = orders.assigned_here(found, HERE, self.index)
-        ready = orders.models_ready(known, self.index)
-        unwanted = orders.unwanted(assignments, report, self.index, ready)
+        assignments = orders.assignments_on(found, OWN_TARGET, self.index)
+        ready = orders.ready_models(known, self.index)
+        unwanted = orders.unwanted_residents(assignments, report, self.index, ready)
         return Situation(report, self.index, known, assignments, unwanted)
 
 
-def in_any_order(
-    world: Callable[[], DirectoryWorld | KeeperWorld], events: st.SearchStrategy[Event]
+def check_in_any_order(
+    world: Callable[[], DirectoryComparison | SituationComparison], events: st.SearchStrategy[Event]
 ) -> None:
     @settings(
         max_examples=EXAMPLES,
@@ -248,7 +252,7 @@
         phases=(Phase.generate, Phase.shrink),
         suppress_health_check=list(HealthCheck),
     )
-    @given_any(st.lists(events, min_size=1, max_size=MOST_EVENTS))
+    @given_any(st.lists(events, min_size=1, max_size=MAX_EVENTS))
     def check(order: list[Event]) -> None:
         made = world()
         for event in order:
@@ -260,17 +264,17 @@
 
 @then("in any order of events its candidates are those of the scan, in the same order")
 def check_directory(context: Context) -> None:
-    in_any_order(DirectoryWorld, DIRECTORY_EVENTS)
+    check_in_any_order(DirectoryComparison, DIRECTORY_EVENTS)
 
 
 @then("in any order of events its situation is that of the scan")
 def check_situations(context: Context) -> None:
-    in_any_order(KeeperWorld, KEEPER_EVENTS)
+    check_in_any_order(SituationComparison, KEEPER_EVENTS)
 
 
 @given('target "{name}" was listed, then listed at a new address')
 def list_twice(context: Context, name: str) -> None:
-    context.world = DirectoryWorld()
+    context.world = DirectoryComparison()
     for port in (1, 2):
         context.world.apply(("list", {name: port}, None))
 
--- a/features/steps/scale_steps.py
+++ b/features/steps/scale_steps.py
@@ -11,10 +11,10 @@
 from behave import when
 from behave.runner import Context
 
-from mimosaspur_coordination import decoded
-from mimosaspur_coordination.decoded import RecordCache
+from mimosaspur_coordination import recordcache
 from mimosaspur_coordination.listreadlimiter import ListReadLimiter
 from mimosaspur_coordination.mirror import Mirror
+from mimosaspur_coordination.recordcache import RecordCache
 from mimosaspur_coordination.targetdirectory import TargetDirectory
 from mimosaspur_daemon.engine_situation import Situations
 from mimosaspur_daemon.instancefollower import InstanceFollower
@@ -34,17 +34,17 @@
 PREFIX = keys.placements(REGION)
 PAUSE_MS = 2000
 STEP_MS = 100
-LONGEST_MS = 200_000
+MAX_SEARCHED_MS = 200_000
 FAILS = "fails"
 NOBODY = "nobody"
 NEVER = "never"
 MINUTE_MS = 60_000
-BOUND_S = 10.0
+TIMEOUT_S = 10.0
 ADDRESS = "127.0.0.1:1"
 NEW_ADDRESS = "127.0.0.1:2"
 
 
-class Listing:
+class FakeInstanceList:
     """Stand in for the instance list."""
 
     def __init__(self, size_bytes: int) -> None:
@@ -71,7 +71,7 @@
     return Mirror(mock.Mock(), (PREFIX,), wait_ms=1)
 
 
-def sought_of(text: str) -> list[str]:
+def parse_sought(text: str) -> list[str]:
     return [] if text == NOBODY else text.split()
 
 
@@ -86,7 +86,7 @@
 
 @given('it was read at "{readings}" while "{sought}" was sought in vain')
 def read_before(context: Context, readings: str, sought: str) -> None:
-    context.sought = sought_of(sought)
+    context.sought = parse_sought(sought)
     context.was_read = readings != NEVER
     for reading in [] if readings == NEVER else readings.split():
         context.last_ms = int(reading.removesuffix(FAILS))
@@ -101,7 +101,7 @@
 @then("it is read next at {next_ms:d} ms")
 def check_next(context: Context, next_ms: int) -> None:
     first_ms = context.last_ms + STEP_MS if context.was_read else 0
-    times = range(first_ms, LONGEST_MS, STEP_MS)
+    times = range(first_ms, MAX_SEARCHED_MS, STEP_MS)
     found = next(now_ms for now_ms in times if context.pace.is_due(now_ms, context.sought))
     assert found == next_ms, f"it is read at {found} ms"
 
@@ -129,7 +129,7 @@
     context.mirror = new_mirror()
     context.mirror.reachable = True
     context.directory = TargetDirectory(context.mirror, region=REGION)
-    context.listing = Listing(size)
+    context.listing = FakeInstanceList(size)
     settings = PlatformSettings(ADDRESS, ADDRESS, instance_list_ms=pause)
     context.follower = InstanceFollower(
         context.listing,
@@ -148,7 +148,7 @@
 
 @given('it has read the list, which does not name "{name}" yet')
 def await_first(context: Context, name: str) -> None:
-    await_that(lambda: "t1" in context.directory.hints)
+    await_condition(lambda: "t1" in context.directory.hints)
     assert name not in context.directory.hints
 
 
@@ -168,22 +168,22 @@
 @then('the entry knows "{name}" long before the next regular reading')
 def check_known(context: Context, name: str) -> None:
     # A regular reading comes after 20 s, past the bound.
-    await_that(lambda: name in context.directory.hints)
+    await_condition(lambda: name in context.directory.hints)
     assert name not in context.directory.unresolved_targets()
 
 
 @then('the entry knows the new address of "{name}" long before the next regular reading')
 def check_address(context: Context, name: str) -> None:
-    await_that(lambda: context.directory.hints[name].address == NEW_ADDRESS)
+    await_condition(lambda: context.directory.hints[name].address == NEW_ADDRESS)
 
 
-def await_that(condition: Callable[[], bool]) -> None:
+def await_condition(condition: Callable[[], bool]) -> None:
     pause = threading.Event()
-    for _ in range(int(BOUND_S / 0.01)):
+    for _ in range(int(TIMEOUT_S / 0.01)):
         if condition():
             return
         pause.wait(0.01)
-    raise AssertionError(f"not within {BOUND_S} s")
+    raise AssertionError(f"not within {TIMEOUT_S} s")
 
 
 @given("a mirror with {count:d} placement records")
@@ -195,7 +195,7 @@
         context.mirror.apply_update(item)
     context.count = count
     context.cache = RecordCache(context.mirror)
-    decoding = mock.patch.object(decoded, "_record_in", wraps=decoded._record_in)
+    decoding = mock.patch.object(recordcache, "_decode_record", wraps=recordcache._decode_record)
     context.decoding = decoding.start()
     context.add_cleanup(decoding.stop)
     walks = mock.patch.object(context.mirror, "list_prefix", wraps=context.mirror.list_prefix)
--- a/packages/coordination/src/mimosaspur_coordination/bundlestatus.py
+++ b/packages/coordination/src/mimosaspur_coordination/bundlestatus.py
@@ -13,7 +13,7 @@
 
 ENTRY_LISTS = ("models", "services")
 ADAPTERS = "adapters"
-WHOLE = ""
+WHOLE_ENTRY = ""
 
 
 @dataclass(slots=True, frozen=True)
@@ -77,7 +77,7 @@
     found: list[Difference] = []
     for entry in sorted({*old, *new}):
         if entry not in old or entry not in new:
-            found.append(Difference(entry, WHOLE, old.get(entry), new.get(entry)))
+            found.append(Difference(entry, WHOLE_ENTRY, old.get(entry), new.get(entry)))
         else:
             found.extend(_changed_fields(entry, old[entry], new[entry]))
     return found
--- a/packages/coordination/src/mimosaspur_coordination/demand.py
+++ b/packages/coordination/src/mimosaspur_coordination/demand.py
@@ -9,8 +9,8 @@
 from mimosaspur_state.placement import Replica
 from mimosaspur_state.records import DemandReport
 
-LOW_WINDOWS = 3
-LOW_SHARE = 0.5
+SCALE_DOWN_WINDOWS = 3
+LOW_DEMAND_RATIO = 0.5
 
 
 def sum_reports(reports: Iterable[DemandReport], window_ms: int) -> dict[str, DemandSum]:
@@ -25,47 +25,47 @@
     return {name: DemandSum(round(asked), round(refused[name])) for name, asked in requests.items()}
 
 
-def carried(view: PlannerView, replicas: Iterable[Replica]) -> float:
+def window_capacity(view: PlannerView, replicas: Iterable[Replica]) -> float:
     """Return the requests that replicas carry in a window if they have their targets alone."""
     slots = sum(view.alive[item.target].slots for item in replicas if item.target in view.alive)
     return slots * view.window_ms / max(1, view.service_time_ms)
 
 
-def unserved(view: PlannerView, entry: ModelEntry, ready: list[Replica]) -> float:
+def unserved_requests(view: PlannerView, entry: ModelEntry, ready: list[Replica]) -> float:
     """Return the requests of a window that the ready replicas refuse or can't carry."""
     demand = view.demand.get(entry.name, DemandSum())
-    return max(demand.refused, demand.requests - carried(view, ready))
+    return max(demand.refused, demand.requests - window_capacity(view, ready))
 
 
-def is_low(view: PlannerView, entry: ModelEntry, ready: list[Replica]) -> bool:
+def is_demand_low(view: PlannerView, entry: ModelEntry, ready: list[Replica]) -> bool:
     """Tell whether demand is below half of what one fewer replica carries."""
     demand = view.demand.get(entry.name, DemandSum())
     if demand.refused or len(ready) <= entry.replicas:
         return False
-    return demand.requests < LOW_SHARE * carried(view, ready[:-1])
+    return demand.requests < LOW_DEMAND_RATIO * window_capacity(view, ready[:-1])
 
 
-def settled(view: PlannerView, target: str) -> bool:
+def is_stable(view: PlannerView, target: str) -> bool:
     """Tell whether a target has not changed for a window, so that demand shows the change."""
     changed_ms = view.changed_ms.get(target)
     return changed_ms is None or view.now_ms - changed_ms >= view.window_ms
 
 
-class LowWindows:
+class LowDemandCounter:
     """Count for each model the windows in a row in which its demand was low."""
 
     def __init__(self) -> None:
         self.counts: dict[str, int] = {}
-        self.counted_ms: int | None = None
+        self.last_counted_ms: int | None = None
 
-    def count(self, view: PlannerView) -> dict[str, int]:
+    def update(self, view: PlannerView) -> dict[str, int]:
         """Count the view's window if one has passed since the last; return the counts."""
-        if self.counted_ms is not None and view.now_ms - self.counted_ms < view.window_ms:
+        if self.last_counted_ms is not None and view.now_ms - self.last_counted_ms < view.window_ms:
             return self.counts
-        self.counted_ms = view.now_ms
+        self.last_counted_ms = view.now_ms
         for name, entry in view.index.models.items():
             placed = view.placed.get(name)
             ready = placed.record.ready() if placed else []
-            low = is_low(view, entry, ready)
+            low = is_demand_low(view, entry, ready)
             self.counts[name] = self.counts.get(name, 0) + 1 if low else 0
         return self.counts
--- a/packages/coordination/src/mimosaspur_coordination/dryrun.py
+++ b/packages/coordination/src/mimosaspur_coordination/dryrun.py
@@ -2,7 +2,7 @@
 
 from mimosaspur_coordination.dryruntarget import DryRunTarget
 from mimosaspur_coordination.planner import plan
-from mimosaspur_coordination.view import DEFAULT_AT_ONCE
+from mimosaspur_coordination.view import DEFAULT_MAX_CONCURRENT_LOADS
 from mimosaspur_coordination.view import Placed
 from mimosaspur_coordination.view import PlannerView
 from mimosaspur_coordination.view import RecordChange
@@ -14,12 +14,12 @@
 from mimosaspur_state.placement import ReplicaState
 from mimosaspur_state.records import TargetStatus
 
-ROUNDS = 200
-ROUNDS_FOR_EACH_MODEL = 4
+BASE_ROUNDS = 200
+ROUNDS_PER_MODEL = 4
 STEP_MS = 1000
 
 
-class _Unlimited:
+class _UnlimitedRate:
     """Give a token whenever asked."""
 
     def take(self, n: int = 1) -> bool:
@@ -36,31 +36,35 @@
         in_force: Bundle,
         targets: list[TargetStatus],
         *,
-        at_once: int = DEFAULT_AT_ONCE,
+        max_concurrent_loads: int = DEFAULT_MAX_CONCURRENT_LOADS,
     ) -> None:
         self.index = BundleIndex.build(1, bundle)
-        self.at_once = at_once
+        self.max_concurrent_loads = max_concurrent_loads
         # What is on targets now is as the bundle in force names it.
-        self.known = {entry.resident(): entry for entry in (*bundle.models, *in_force.models)}
-        self.targets = {item.instance: DryRunTarget(item, self.known) for item in targets}
+        self.entries_by_resident = {
+            entry.resident(): entry for entry in (*bundle.models, *in_force.models)
+        }
+        self.targets = {
+            item.instance: DryRunTarget(item, self.entries_by_resident) for item in targets
+        }
         self.draining = frozenset(item.instance for item in targets if item.draining)
         self.placed: dict[str, Placed] = {}
         for name, target in self.targets.items():
-            for resident in target.held:
+            for resident in target.loaded:
                 model, _, version = resident.rpartition("@")
-                self._put(model, Replica(name, version, ReplicaState.READY))
+                self._put_replica(model, Replica(name, version, ReplicaState.READY))
 
-    def unready(self) -> ModelEntry | None:
+    def find_unready(self) -> ModelEntry | None:
         """Run the roll; return a model that never gets its new version ready, or None."""
         waiting: list[ModelEntry] = []
-        for step in range(ROUNDS + ROUNDS_FOR_EACH_MODEL * len(self.index.models)):
-            changes = plan(self._view(step * STEP_MS), _Unlimited())
-            waiting = [entry for entry in self.index.models.values() if not self._ready(entry)]
+        for step in range(BASE_ROUNDS + ROUNDS_PER_MODEL * len(self.index.models)):
+            changes = plan(self._view(step * STEP_MS), _UnlimitedRate())
+            waiting = [entry for entry in self.index.models.values() if not self._is_ready(entry)]
             if not waiting:
                 return None
             for change in changes:
-                self._write(change)
-            answered = self._answer()
+                self._apply_change(change)
+            answered = self._run_targets()
             if not changes and not answered:
                 break
         return waiting[0] if waiting else None
@@ -72,30 +76,30 @@
             alive={name: target.status for name, target in self.targets.items()},
             now_ms=now_ms,
             draining=self.draining,
-            former=self.known,
-            at_once=self.at_once,
+            former_entries=self.entries_by_resident,
+            max_concurrent_loads=self.max_concurrent_loads,
         )
 
-    def _ready(self, entry: ModelEntry) -> bool:
+    def _is_ready(self, entry: ModelEntry) -> bool:
         placed = self.placed.get(entry.name)
         ready = placed.record.ready() if placed else []
         return any(
-            replica.version == entry.version and self.targets[replica.target].whole(entry)
+            replica.version == entry.version and self.targets[replica.target].is_complete(entry)
             for replica in ready
         )
 
-    def _write(self, change: RecordChange) -> None:
+    def _apply_change(self, change: RecordChange) -> None:
         if change.new is None:
             self.placed.pop(change.model)
         else:
             self.placed[change.model] = Placed(change.new, 1)
 
-    def _put(self, model: str, replica: Replica) -> None:
+    def _put_replica(self, model: str, replica: Replica) -> None:
         placed = self.placed.get(model)
         record = placed.record if placed else PlacementRecord(model, 0)
         self.placed[model] = Placed(record.with_replica(replica), 1)
 
-    def _answer(self) -> bool:
+    def _run_targets(self) -> bool:
         """Have targets do what records ask; tell whether anything came of it."""
         asked = [
             (model, replica)
@@ -104,9 +108,9 @@
         ]
         # Targets load before they unload: what leaves still takes its room then.
         asked.sort(key=lambda item: item[1].state is ReplicaState.LEAVING)
-        return sum(self._answer_one(model, replica) for model, replica in asked) > 0
+        return sum(self._run_replica(model, replica) for model, replica in asked) > 0
 
-    def _answer_one(self, model: str, replica: Replica) -> bool:
+    def _run_replica(self, model: str, replica: Replica) -> bool:
         target = self.targets[replica.target]
         entry = self.index.models.get(model)
         if replica.state is ReplicaState.LEAVING:
@@ -117,14 +121,14 @@
         if entry is None or replica.version != entry.version:
             return False
         if replica.state is ReplicaState.READY:
-            return target.grow(entry, self._goes)
+            return target.update_adapters(entry, self._may_unload)
         if not target.load(entry, self.index.models):
             return False
-        self._put(model, Replica(replica.target, replica.version, ReplicaState.READY))
+        self._put_replica(model, Replica(replica.target, replica.version, ReplicaState.READY))
         return True
 
-    def _goes(self, adapter: str, holder: ModelEntry) -> bool:
+    def _may_unload(self, adapter: str, holder: ModelEntry) -> bool:
         served = self.index.served.get(adapter)
         if served is None:
             return True
-        return served.model.name != holder.name and self._ready(served.model)
+        return served.model.name != holder.name and self._is_ready(served.model)
--- a/packages/coordination/src/mimosaspur_coordination/dryruntarget.py
+++ b/packages/coordination/src/mimosaspur_coordination/dryruntarget.py
@@ -13,15 +13,15 @@
 from mimosaspur_state.bundle import ModelEntry
 from mimosaspur_state.records import TargetStatus
 
-Goes = Callable[[str, ModelEntry], bool]
+MayUnload = Callable[[str, ModelEntry], bool]
 """Tell whether an adapter that an entry doesn't name may be unloaded."""
 
 
 @dataclass(slots=True)
-class Held:
+class LoadedReplica:
     """Hold a replica's accelerators (empty if unknown), memory on each, and its adapters."""
 
-    chosen: tuple[int, ...]
+    accelerator_indexes: tuple[int, ...]
     accelerators: int
     memory_mb: int
     adapters: dict[str, int]
@@ -36,78 +36,80 @@
 
     def __init__(self, status: TargetStatus, known: Mapping[str, ModelEntry]) -> None:
         self.status = status
-        self.room = Bin.of(status)
+        self.bin = Bin.of(status)
         # What is still being loaded takes its room too, and gives it back if it isn't wanted.
         names = dict.fromkeys((*status.residents, *status.layout))
         found = {name: known[name] for name in names if name in known}
-        self.held = {name: _held(entry, status) for name, entry in found.items()}
-        layout = layout_of(status, {name: held.need() for name, held in self.held.items()})
-        for name, held in self.held.items():
-            held.chosen = layout.get(name, ())
+        self.loaded = {name: _loaded_replica(entry, status) for name, entry in found.items()}
+        layout = layout_of(status, {name: held.need() for name, held in self.loaded.items()})
+        for name, held in self.loaded.items():
+            held.accelerator_indexes = layout.get(name, ())
 
     def load(self, entry: ModelEntry, models: Mapping[str, ModelEntry]) -> bool:
         """Load an entry with all its adapters; return False if there is no room."""
         need = Need.of(entry)
-        free_mb = self._free_besides_promised(models)
+        free_mb = self._unreserved_mb(models)
         chosen = choose_accelerators(free_mb, need.memory_mb, need.accelerators)
         if chosen is None:
             return False
-        self.room.hold(need, chosen)
+        self.bin.force_reserve(need, chosen)
         adapters = {item.resident(): item.memory_mb for item in entry.adapters}
-        self.held[entry.resident()] = Held(chosen, entry.accelerators, entry.total_mb(), adapters)
-        self._report()
+        self.loaded[entry.resident()] = LoadedReplica(
+            chosen, entry.accelerators, entry.total_mb(), adapters
+        )
+        self._update_status()
         return True
 
     def unload(self, resident: str) -> None:
         """Unload a replica with what sits on it."""
-        held = self.held.pop(resident)
-        self.room.give_back(held.need(), held.chosen)
-        self._report()
+        held = self.loaded.pop(resident)
+        self.bin.release(held.need(), held.accelerator_indexes)
+        self._update_status()
 
-    def whole(self, entry: ModelEntry) -> bool:
+    def is_complete(self, entry: ModelEntry) -> bool:
         """Tell whether an entry is here with all its adapters."""
-        held = self.held.get(entry.resident())
+        held = self.loaded.get(entry.resident())
         return held is not None and all(it.resident() in held.adapters for it in entry.adapters)
 
-    def grow(self, entry: ModelEntry, goes: Goes) -> bool:
+    def update_adapters(self, entry: ModelEntry, goes: MayUnload) -> bool:
         """Bring a replica one adapter nearer to what its entry names; tell whether any changed.
 
         Replicas on a target take turns: each may take the room that another one needs.
         """
-        held = self.held[entry.resident()]
+        held = self.loaded[entry.resident()]
         before = dict(held.adapters)
         missing = [item for item in entry.adapters if item.resident() not in held.adapters]
-        if missing and self._take(held, missing[0].memory_mb):
+        if missing and self._add_memory(held, missing[0].memory_mb):
             held.adapters[missing[0].resident()] = missing[0].memory_mb
-        self._shed(held, entry, goes)
+        self._unload_replaced(held, entry, goes)
         if held.adapters == before:
             return False
-        self._report()
+        self._update_status()
         return True
 
-    def _free_besides_promised(self, models: Mapping[str, ModelEntry]) -> list[int]:
+    def _unreserved_mb(self, models: Mapping[str, ModelEntry]) -> list[int]:
         """Leave out the room that replicas here need for their own new adapters."""
-        free_mb = list(self.room.free_mb)
-        for resident, held in self.held.items():
+        free_mb = list(self.bin.free_mb)
+        for resident, held in self.loaded.items():
             entry = models.get(resident.rpartition("@")[0])
             if entry is None or entry.resident() != resident:
                 continue
             missing = [item for item in entry.adapters if item.resident() not in held.adapters]
-            for index in held.chosen:
+            for index in held.accelerator_indexes:
                 free_mb[index] -= sum(item.memory_mb for item in missing)
         return free_mb
 
-    def _take(self, held: Held, memory_mb: int) -> bool:
+    def _add_memory(self, held: LoadedReplica, memory_mb: int) -> bool:
         extra = Need("", memory_mb, held.accelerators)
-        if any(self.room.free_mb[index] < memory_mb for index in held.chosen):
+        if any(self.bin.free_mb[index] < memory_mb for index in held.accelerator_indexes):
             return False
-        if not held.chosen and not self.room.fits(extra):
+        if not held.accelerator_indexes and not self.bin.fits(extra):
             return False
-        self.room.hold(extra, held.chosen)
+        self.bin.force_reserve(extra, held.accelerator_indexes)
         held.memory_mb += memory_mb
         return True
 
-    def _shed(self, held: Held, entry: ModelEntry, goes: Goes) -> None:
+    def _unload_replaced(self, held: LoadedReplica, entry: ModelEntry, goes: MayUnload) -> None:
         wanted = {item.resident(): item.name for item in entry.adapters}
         replaced = {name for resident, name in wanted.items() if resident in held.adapters}
         for resident in held.adapters.keys() - wanted.keys():
@@ -115,23 +117,23 @@
             if name in replaced or (name not in wanted.values() and goes(name, entry)):
                 memory_mb = held.adapters.pop(resident)
                 held.memory_mb -= memory_mb
-                self.room.give_back(Need("", memory_mb, held.accelerators), held.chosen)
+                self.bin.release(Need("", memory_mb, held.accelerators), held.accelerator_indexes)
 
-    def _report(self) -> None:
-        layout = {name: held.chosen for name, held in self.held.items()}
-        adapters = [adapter for held in self.held.values() for adapter in held.adapters]
+    def _update_status(self) -> None:
+        layout = {name: held.accelerator_indexes for name, held in self.loaded.items()}
+        adapters = [adapter for held in self.loaded.values() for adapter in held.adapters]
         self.status = msgspec.structs.replace(
             self.status,
-            free_mb=tuple(self.room.free_mb),
-            residents=(*self.held, *adapters),
+            free_mb=tuple(self.bin.free_mb),
+            residents=(*self.loaded, *adapters),
             layout=layout if all(layout.values()) else {},
-            held_mb={name: held.memory_mb for name, held in self.held.items()},
+            held_mb={name: held.memory_mb for name, held in self.loaded.items()},
         )
 
 
-def _held(entry: ModelEntry, status: TargetStatus) -> Held:
+def _loaded_replica(entry: ModelEntry, status: TargetStatus) -> LoadedReplica:
     present = [item for item in entry.adapters if item.resident() in status.residents]
     adapters = {item.resident(): item.memory_mb for item in present}
     guess_mb = entry.memory_mb + sum(adapters.values())
     memory_mb = status.held_mb.get(entry.resident(), guess_mb)
-    return Held((), entry.accelerators, memory_mb, adapters)
+    return LoadedReplica((), entry.accelerators, memory_mb, adapters)
--- a/packages/coordination/src/mimosaspur_coordination/fit.py
+++ b/packages/coordination/src/mimosaspur_coordination/fit.py
@@ -7,7 +7,7 @@
 from mimosaspur_coordination.packing import Need
 from mimosaspur_coordination.packing import largest_first
 from mimosaspur_coordination.packing import pack
-from mimosaspur_coordination.view import DEFAULT_AT_ONCE
+from mimosaspur_coordination.view import DEFAULT_MAX_CONCURRENT_LOADS
 from mimosaspur_state.bundle import Bundle
 from mimosaspur_state.bundle import ModelEntry
 from mimosaspur_state.codes import ResultCode
@@ -15,10 +15,10 @@
 from mimosaspur_state.records import TargetStatus
 from mimosaspur_state.settings import TargetKind
 
-DRY_RUN_AT_ONCE = (DEFAULT_AT_ONCE, 2, 1)
+DRY_RUN_CONCURRENT_LOADS = (DEFAULT_MAX_CONCURRENT_LOADS, 2, 1)
 """Try with so many loads at once: which are ready first decides what room is left."""
 
-NO_ROOM_BESIDE = "there is no room beside what is in force, also with one other model moved"
+NO_MIGRATION_ROOM = "there is no room beside what is in force, also with one other model moved"
 
 
 class Packing:
@@ -26,57 +26,57 @@
 
     def __init__(self, bins: list[Bin]) -> None:
         self.bins = bins
-        self.held: dict[str, tuple[Need, Bin]] = {}
+        self.placements: dict[str, tuple[Need, Bin]] = {}
 
     def add(self, need: Need) -> bool:
         """Place a need on the first target with room; return False if there is none."""
         for room in self.bins:
-            if room.allows(need) and room.take(need):
-                self.held[need.model] = (need, room)
+            if room.allows(need) and room.reserve(need):
+                self.placements[need.model] = (need, room)
                 return True
         return False
 
     def remove(self, model: str) -> None:
         """Give back what a model holds."""
-        need, room = self.held.pop(model)
-        room.give_back(need)
+        need, room = self.placements.pop(model)
+        room.release(need)
 
     def replace(self, need: Need) -> bool:
         """Place the new version of a model beside the old one, then remove the old one."""
-        old = self.held.pop(need.model, None)
+        old = self.placements.pop(need.model, None)
         if not self.add(need) and not self._add_by_move(need):
             return False
         if old:
-            old[1].give_back(old[0])
+            old[1].release(old[0])
         return True
 
-    def grow(self, extra: Need, grown: Need) -> bool:
+    def add_adapters(self, extra: Need, grown: Need) -> bool:
         """Add adapters beside what a model holds, or else replace it; then remove the old."""
-        need, room = self.held[extra.model]
-        if not room.take(extra):
+        need, room = self.placements[extra.model]
+        if not room.reserve(extra):
             # The replica can't take it in where it is, so a whole one replaces it elsewhere.
             return self.replace(grown)
-        room.give_back(need)
-        room.give_back(extra)
-        room.hold(grown)
-        self.held[extra.model] = (grown, room)
+        room.release(need)
+        room.release(extra)
+        room.force_reserve(grown)
+        self.placements[extra.model] = (grown, room)
         return True
 
     def _add_by_move(self, need: Need) -> bool:
-        for model in list(self.held):
-            moved, origin = self.held[model]
+        for model in list(self.placements):
+            moved, origin = self.placements[model]
             if not origin.allows(need):
                 continue
             for room in self.bins:
                 if room is origin or not room.allows(moved) or not room.fits(moved):
                     continue
                 trial = origin.copy()
-                trial.give_back(moved)
-                if trial.take(need):
-                    room.take(moved)
+                trial.release(moved)
+                if trial.reserve(need):
+                    room.reserve(moved)
                     origin.free_mb = trial.free_mb
-                    self.held[model] = (moved, room)
-                    self.held[need.model] = (need, origin)
+                    self.placements[model] = (moved, room)
+                    self.placements[need.model] = (need, origin)
                     return True
         return False
 
@@ -86,40 +86,44 @@
     bins = _bins(targets)
     lacking = pack(bins, _needs(bundle.models))
     if lacking:
-        raise _does_not_fit(lacking, bins, "the models together need more than there is")
+        raise _fit_error(lacking, bins, "the models together need more than there is")
     if in_force is None:
         return
     if any(status.residents for status in targets):
         # What targets report is truer than how the bundle in force would be packed.
-        for at_once in DRY_RUN_AT_ONCE:
-            stuck = DryRun(bundle, in_force, targets, at_once=at_once).unready()
+        for at_once in DRY_RUN_CONCURRENT_LOADS:
+            stuck = DryRun(bundle, in_force, targets, max_concurrent_loads=at_once).find_unready()
             if stuck:
-                raise _does_not_fit(Need.of(stuck), _bins(targets, free=True), NO_ROOM_BESIDE)
+                raise _fit_error(Need.of(stuck), _bins(targets, free=True), NO_MIGRATION_ROOM)
         return
     packing = Packing(_bins(targets))
     for need in largest_first(_needs(in_force.models)):
         # What does not fit now is not held now, so it needs no room beside its new version.
         packing.add(need)
-    _walk(packing, bundle, in_force)
+    _check_transition(packing, bundle, in_force)
 
 
-def _walk(packing: Packing, bundle: Bundle, in_force: Bundle) -> None:
+def _check_transition(packing: Packing, bundle: Bundle, in_force: Bundle) -> None:
     old = {model.name: model for model in in_force.models}
     new = {model.name: model for model in bundle.models}
     for name in old.keys() - new.keys():
-        if name in packing.held:
+        if name in packing.placements:
             packing.remove(name)
-    grown = [model for model in new.values() if _grows(old.get(model.name), model, packing)]
+    grown = [
+        model
+        for model in new.values()
+        if _only_adapters_change(old.get(model.name), model, packing)
+    ]
     for model in grown:
-        extra = _added(old[model.name], model)
-        if extra and not packing.grow(extra, Need.of(model)):
-            raise _does_not_fit(extra, packing.bins, NO_ROOM_BESIDE)
-    for need in _in_order(packing, [model for model in new.values() if model not in grown]):
+        extra = _added_adapters(old[model.name], model)
+        if extra and not packing.add_adapters(extra, Need.of(model)):
+            raise _fit_error(extra, packing.bins, NO_MIGRATION_ROOM)
+    for need in _fitting_first(packing, [model for model in new.values() if model not in grown]):
         if not packing.replace(need):
-            raise _does_not_fit(need, packing.bins, NO_ROOM_BESIDE)
+            raise _fit_error(need, packing.bins, NO_MIGRATION_ROOM)
 
 
-def _in_order(packing: Packing, changed: list[ModelEntry]) -> Iterable[Need]:
+def _fitting_first(packing: Packing, changed: list[ModelEntry]) -> Iterable[Need]:
     """Yield what fits now first: each change may give room to the next."""
     waiting = list(largest_first(_needs(changed)))
     while waiting:
@@ -133,12 +137,12 @@
         yield need
 
 
-def _grows(old: ModelEntry | None, new: ModelEntry, packing: Packing) -> bool:
+def _only_adapters_change(old: ModelEntry | None, new: ModelEntry, packing: Packing) -> bool:
     """Tell whether a replica stays and at most its adapters change."""
-    return old is not None and old.version == new.version and new.name in packing.held
+    return old is not None and old.version == new.version and new.name in packing.placements
 
 
-def _added(old: ModelEntry, new: ModelEntry) -> Need | None:
+def _added_adapters(old: ModelEntry, new: ModelEntry) -> Need | None:
     held = {adapter.resident() for adapter in old.adapters}
     added = [item.memory_mb for item in new.adapters if item.resident() not in held]
     return Need(new.name, sum(added), new.accelerators, new.domains) if added else None
@@ -162,7 +166,7 @@
     ]
 
 
-def _does_not_fit(need: Need, bins: list[Bin], why: str) -> MimosaspurError:
+def _fit_error(need: Need, bins: list[Bin], why: str) -> MimosaspurError:
     allowed = [room for room in bins if room.allows(need)]
     free = [sorted(room.free_mb, reverse=True)[: need.accelerators] for room in allowed]
     best = max((room for room in free if len(room) == need.accelerators), key=min, default=[0])
--- a/packages/coordination/src/mimosaspur_coordination/generation.py
+++ b/packages/coordination/src/mimosaspur_coordination/generation.py
@@ -17,8 +17,8 @@
 from mimosaspur_state.records import Head
 from mimosaspur_state.records import WrittenBundle
 
-RETRY_PAUSE_S = 0.2
-ASK_AGAIN_MS = 500
+STORE_RETRY_INTERVAL_S = 0.2
+PEER_REQUEST_RETRY_MS = 500
 PART = "BUNDLE"
 
 
@@ -30,7 +30,7 @@
         self.lock = threading.Lock()
         self.changed = threading.Condition(self.lock)
         self.listeners: list[Callable[[BundleIndex], None]] = []
-        self.asked = (0, 0)
+        self.last_request = (0, 0)
 
     def current(self) -> BundleIndex | None:
         """Return the bundle in force here, or None before the first."""
@@ -40,7 +40,7 @@
         """Return the generation in force here, 0 before the first."""
         return self.index.generation if self.index else 0
 
-    def offer(self, generation: int, bundle: Bundle) -> bool:
+    def apply_if_newer(self, generation: int, bundle: Bundle) -> bool:
         """Put a bundle in force if it is newer; tell whether it was."""
         index = BundleIndex.build(generation, bundle)
         with self.lock:
@@ -58,32 +58,32 @@
         with self.lock:
             return self.changed.wait_for(lambda: self.generation() >= generation, timeout_s)
 
-    def should_ask(self, generation: int, now_ms: int) -> bool:
+    def should_request(self, generation: int, now_ms: int) -> bool:
         """Tell whether to ask a peer that is ahead; one of many peers is asked at a time."""
         with self.lock:
             if generation <= self.generation():
                 return False
-            asked, at_ms = self.asked
-            if generation <= asked and now_ms - at_ms < ASK_AGAIN_MS:
+            asked, at_ms = self.last_request
+            if generation <= asked and now_ms - at_ms < PEER_REQUEST_RETRY_MS:
                 return False
-            self.asked = (generation, now_ms)
+            self.last_request = (generation, now_ms)
             return True
 
-    def pack(self) -> tuple[int, bytes] | None:
+    def encode_current(self) -> tuple[int, bytes] | None:
         """Return the generation and the bundle packed for a peer."""
         index = self.index
         if index is None:
             return None
         return index.generation, zlib.compress(json.dumps(index.bundle.to_value()).encode())
 
-    def unpack(self, generation: int, packed: bytes) -> bool:
+    def apply_encoded(self, generation: int, packed: bytes) -> bool:
         """Take a peer's bundle; tell whether it was newer and well formed."""
         try:
             bundle = bundle_from_value(json.loads(zlib.decompress(packed)))
         except (zlib.error, ValueError, MimosaspurError) as error:
             log(PART, "Dropped a peer's bundle that can't be read.", error=str(error))
             return False
-        return self.offer(generation, bundle)
+        return self.apply_if_newer(generation, bundle)
 
 
 class BundleFetcher:
@@ -92,13 +92,13 @@
     def __init__(self, store: ObjectStore, holder: BundleHolder) -> None:
         self.store = store
         self.holder = holder
-        self.wanted: Head | None = None
+        self.latest_head: Head | None = None
         self.wake = threading.Event()
 
-    def head_changed(self, item: StoredObject) -> None:
+    def on_change(self, item: StoredObject) -> None:
         """Take note of a change under the mirror's prefixes."""
         if item.key == keys.HEAD and item.value is not None:
-            self.wanted = Head.from_value(item.value)
+            self.latest_head = Head.from_value(item.value)
             self.wake.set()
 
     def run(self, stop: threading.Event) -> None:
@@ -106,7 +106,7 @@
         while not stop.is_set():
             self.wake.wait(1)
             self.wake.clear()
-            head = self.wanted
+            head = self.latest_head
             if head and head.current.generation > self.holder.generation():
                 self._fetch(head, stop)
 
@@ -115,7 +115,7 @@
         try:
             stored = self.store.get(keys.bundle(roll.bundle))
         except StoreUnavailable:
-            stop.wait(RETRY_PAUSE_S)
+            stop.wait(STORE_RETRY_INTERVAL_S)
             self.wake.set()
             return
         if stored is None:
@@ -125,4 +125,4 @@
         if written.digest != roll.digest:
             log(PART, "The bundle is not the one that was rolled.", bundle=roll.bundle)
             return
-        self.holder.offer(roll.generation, written.bundle)
+        self.holder.apply_if_newer(roll.generation, written.bundle)
--- a/packages/coordination/src/mimosaspur_coordination/layout.py
+++ b/packages/coordination/src/mimosaspur_coordination/layout.py
@@ -8,7 +8,7 @@
 from mimosaspur_coordination.packing import Need
 from mimosaspur_state.records import TargetStatus
 
-MOST_RESIDENTS = 12
+MAX_INFERRED_RESIDENTS = 12
 
 Layout = Mapping[str, tuple[int, ...]]
 
@@ -19,7 +19,7 @@
         return {name: accelerators_of(status, name) for name in status.layout}
     room = Bin.of(status)
     pairs = zip(room.capacity_mb, room.free_mb, strict=True)
-    return find_layout([capacity - free for capacity, free in pairs], needs)
+    return infer_layout([capacity - free for capacity, free in pairs], needs)
 
 
 def accelerators_of(status: TargetStatus, resident: str) -> tuple[int, ...]:
@@ -31,18 +31,18 @@
     return chosen if all(index < len(status.free_mb) for index in chosen) else ()
 
 
-def find_layout(used_mb: Sequence[int], needs: Mapping[str, Need]) -> Layout:
+def infer_layout(used_mb: Sequence[int], needs: Mapping[str, Need]) -> Layout:
     """Return accelerators by resident that explain the memory in use; empty if none do.
 
     This is a guess for targets that don't report their layout: several may explain the same use.
     """
-    if len(needs) > MOST_RESIDENTS:
+    if len(needs) > MAX_INFERRED_RESIDENTS:
         return {}
     ordered = sorted(needs.items(), key=lambda item: (item[1].size(), item[0]), reverse=True)
-    return _explain(list(used_mb), ordered) or {}
+    return _search_layout(list(used_mb), ordered) or {}
 
 
-def _explain(
+def _search_layout(
     used_mb: list[int], needs: list[tuple[str, Need]]
 ) -> dict[str, tuple[int, ...]] | None:
     if not needs:
@@ -53,7 +53,7 @@
         left = list(used_mb)
         for index in chosen:
             left[index] -= need.memory_mb
-        found = _explain(left, rest)
+        found = _search_layout(left, rest)
         if found is not None:
             return {resident: chosen, **found}
     return None
--- a/packages/coordination/src/mimosaspur_coordination/naive.py
+++ b/packages/coordination/src/mimosaspur_coordination/naive.py
@@ -2,42 +2,42 @@
 
 from random import Random
 
-from mimosaspur_coordination.draft import Bucket
 from mimosaspur_coordination.draft import Draft
+from mimosaspur_coordination.draft import RateLimiter
 from mimosaspur_coordination.packing import Need
-from mimosaspur_coordination.steps import drop_useless_loads
-from mimosaspur_coordination.steps import retire_unwanted
+from mimosaspur_coordination.replicaremoval import drop_obsolete_loads
+from mimosaspur_coordination.replicaremoval import retire_unwanted
 from mimosaspur_coordination.view import PlannerView
 from mimosaspur_coordination.view import RecordChange
 from mimosaspur_state.bundle import ModelEntry
 from mimosaspur_state.placement import ReplicaState
 
 
-def plan_naively(view: PlannerView, bucket: Bucket, random: Random) -> list[RecordChange]:
+def plan_naively(view: PlannerView, bucket: RateLimiter, random: Random) -> list[RecordChange]:
     """Return changes that break before they make and put loads on targets at random."""
     draft = Draft(view, bucket)
     retire_unwanted(draft)
     for entry in view.index.models.values():
-        drop_useless_loads(draft, entry)
-        _remove_wrong(draft, entry)
+        drop_obsolete_loads(draft, entry)
+        _remove_outdated(draft, entry)
         if len(draft.record(entry.name).replicas) < entry.replicas:
-            _load_anywhere(draft, entry, random)
+            _load_on_random_target(draft, entry, random)
     return draft.changes()
 
 
-def _remove_wrong(draft: Draft, entry: ModelEntry) -> None:
+def _remove_outdated(draft: Draft, entry: ModelEntry) -> None:
     for replica in draft.record(entry.name).replicas:
-        if not draft.live(replica):
+        if not draft.is_live(replica):
             draft.drop(entry.name, replica, "its target is not alive")
-        elif replica.version == entry.version and draft.stays(replica):
+        elif replica.version == entry.version and draft.is_staying(replica):
             continue
         elif replica.state is ReplicaState.READY:
             # A target keeps a last ready replica, so this policy takes it out of the record.
             draft.drop(entry.name, replica, "it is not what the bundle names")
 
 
-def _load_anywhere(draft: Draft, entry: ModelEntry, random: Random) -> None:
+def _load_on_random_target(draft: Draft, entry: ModelEntry, random: Random) -> None:
     need = Need.of(entry)
     fitting = [room for room in draft.candidates(entry) if room.fits(need)]
     if fitting:
-        draft.load(entry, random.choice(fitting).target, "it has too few replicas")
+        draft.start_load(entry, random.choice(fitting).target, "it has too few replicas")
--- a/packages/coordination/src/mimosaspur_coordination/orders.py
+++ b/packages/coordination/src/mimosaspur_coordination/orders.py
@@ -26,23 +26,23 @@
     state: ReplicaState
     entry: ModelEntry | None
 
-    def base(self) -> str:
+    def base_id(self) -> str:
         """Return the engine's name for its base."""
         return f"{self.record.model}@{self.version}"
 
-    def adapters(self) -> list[str]:
+    def adapter_ids(self) -> list[str]:
         """Return the engine's names for the adapters it must have."""
         return [item.resident() for item in self.entry.adapters] if self.entry else []
 
 
 @dataclass(slots=True, frozen=True)
-class Load:
+class PlannedLoad:
     """Say what to load next for a replica; an adapter goes where its base is."""
 
     resident: str
     base: str | None
     memory_mb: int
-    count: int
+    accelerators: int
     headroom_mb: int = 0
 
     def kind(self) -> ResidentKind:
@@ -50,7 +50,7 @@
         return ResidentKind.ADAPTER if self.base else ResidentKind.MODEL
 
 
-def assigned_here(
+def assignments_on(
     records: Iterable[tuple[StoredObject, PlacementRecord]], target: str, index: BundleIndex
 ) -> list[Assignment]:
     """Return the replicas on a target, the most urgent models first."""
@@ -60,45 +60,47 @@
         for replica in record.on(target):
             entry = served if served and served.version == replica.version else None
             found.append(Assignment(item, record, replica.version, replica.state, entry))
-    return sorted(found, key=_urgency)
+    return sorted(found, key=_priority_key)
 
 
-def whole(held: Assignment, report: EngineState) -> bool:
+def is_complete(held: Assignment, report: EngineState) -> bool:
     """Tell whether a replica's base and all its adapters are ready."""
-    if held.entry is None or not report.ready(held.base()):
+    if held.entry is None or not report.ready(held.base_id()):
         return False
-    return all(_adapter_ready(report, name, held.base()) for name in held.adapters())
+    return all(_is_adapter_ready(report, name, held.base_id()) for name in held.adapter_ids())
 
 
-def next_load(held: Assignment, report: EngineState) -> Load | None:
+def next_load(held: Assignment, report: EngineState) -> PlannedLoad | None:
     """Return what a staying replica needs next: its base, then its adapters one by one."""
     entry = held.entry
     if entry is None or held.state is ReplicaState.LEAVING:
         return None
-    if report.resident(held.base()) is None:
+    if report.resident(held.base_id()) is None:
         headroom_mb = entry.total_mb() - entry.memory_mb
-        return Load(held.base(), None, entry.memory_mb, entry.accelerators, headroom_mb)
-    if not report.ready(held.base()) or _loading_adapter(report, held.base()):
+        return PlannedLoad(held.base_id(), None, entry.memory_mb, entry.accelerators, headroom_mb)
+    if not report.ready(held.base_id()) or _is_adapter_loading(report, held.base_id()):
         return None
     for adapter in entry.adapters:
         if report.resident(adapter.resident()) is None:
-            return Load(adapter.resident(), held.base(), adapter.memory_mb, entry.accelerators)
+            return PlannedLoad(
+                adapter.resident(), held.base_id(), adapter.memory_mb, entry.accelerators
+            )
     return None
 
 
-def promised_mb(assignments: Iterable[Assignment], ledger: MemoryLedger) -> list[int]:
+def reserved_mb(assignments: Iterable[Assignment], ledger: MemoryLedger) -> list[int]:
     """Return the memory on each accelerator that adapters of bases loaded here still need."""
     promised = [0] * len(ledger.capacity_mb())
     for held in assignments:
         if held.entry is None or held.state is ReplicaState.LEAVING:
             continue
         missing = [it for it in held.entry.adapters if not ledger.counts(it.resident())]
-        for index in ledger.accelerators(held.base()):
+        for index in ledger.accelerators(held.base_id()):
             promised[index] += sum(adapter.memory_mb for adapter in missing)
     return promised
 
 
-def models_ready(records: Iterable[PlacementRecord], index: BundleIndex) -> set[str]:
+def ready_models(records: Iterable[PlacementRecord], index: BundleIndex) -> set[str]:
     """Return the models that have a READY replica of the served version anywhere."""
     found = set()
     for record in records:
@@ -108,13 +110,13 @@
     return found
 
 
-def unwanted(
+def unwanted_residents(
     assignments: list[Assignment], report: EngineState, index: BundleIndex, elsewhere: set[str]
 ) -> list[Resident]:
     """Return ready residents that no replica here needs, adapters before their bases."""
     adapters = []
     bases = []
-    wanted_bases = {held.base() for held in assignments}
+    wanted_bases = {held.base_id() for held in assignments}
     for item in report.residents:
         if item.state is not ResidentState.READY:
             continue
@@ -122,35 +124,35 @@
             bases.append(item)
         if item.kind is not ResidentKind.ADAPTER:
             continue
-        if not _adapter_needed(item, assignments, report, index, elsewhere):
+        if not _is_adapter_needed(item, assignments, report, index, elsewhere):
             adapters.append(item)
     return adapters + bases
 
 
 def residents_of(held: Assignment, report: EngineState) -> list[str]:
     """Return the resident ids that make up a replica: its base and what sits on it."""
-    on_it = [item.id for item in report.residents if item.base == held.base()]
-    return [held.base(), *on_it]
+    on_it = [item.id for item in report.residents if item.base == held.base_id()]
+    return [held.base_id(), *on_it]
 
 
-def _urgency(held: Assignment) -> tuple[int, str, str]:
+def _priority_key(held: Assignment) -> tuple[int, str, str]:
     # A replica outside the bundle needs no load, so its place in the order is free.
     priority = held.entry.priority if held.entry else LOWEST_PRIORITY
     return priority, held.record.model, held.version
 
 
-def _adapter_needed(
+def _is_adapter_needed(
     adapter: Resident,
     assignments: list[Assignment],
     report: EngineState,
     index: BundleIndex,
     elsewhere: set[str],
 ) -> bool:
-    holder = next((held for held in assignments if held.base() == adapter.base), None)
+    holder = next((held for held in assignments if held.base_id() == adapter.base), None)
     if holder is None:
         return False
     # An older version's adapters serve with it until it has left.
-    if holder.entry is None or adapter.id in holder.adapters():
+    if holder.entry is None or adapter.id in holder.adapter_ids():
         return True
     name = adapter.id.rpartition("@")[0]
     served = index.served.get(name)
@@ -158,18 +160,18 @@
         return False
     if served.model.name == holder.entry.name:
         return not report.ready(served.resident())
-    if any(held.base() == served.model.resident() for held in assignments):
+    if any(held.base_id() == served.model.resident() for held in assignments):
         # A replica that was READY before the bundle changed loads its new adapters still.
         return not report.ready(served.resident())
     return served.model.name not in elsewhere
 
 
-def _adapter_ready(report: EngineState, name: str, base: str) -> bool:
+def _is_adapter_ready(report: EngineState, name: str, base: str) -> bool:
     found = report.resident(name)
     return found is not None and found.base == base and report.ready(name)
 
 
-def _loading_adapter(report: EngineState, base: str) -> bool:
+def _is_adapter_loading(report: EngineState, base: str) -> bool:
     return any(
         item.base == base and item.state is ResidentState.LOADING for item in report.residents
     )
--- a/packages/coordination/src/mimosaspur_coordination/packing.py
+++ b/packages/coordination/src/mimosaspur_coordination/packing.py
@@ -57,7 +57,7 @@
         """Tell whether the need finds room here."""
         return sum(free >= need.memory_mb for free in self.free_mb) >= need.accelerators
 
-    def take(self, need: Need) -> bool:
+    def reserve(self, need: Need) -> bool:
         """Take the room for the need; return False and change nothing if there is none."""
         chosen = choose_accelerators(self.free_mb, need.memory_mb, need.accelerators)
         if chosen is None:
@@ -66,14 +66,14 @@
             self.free_mb[index] -= need.memory_mb
         return True
 
-    def hold(self, need: Need, chosen: tuple[int, ...] = ()) -> None:
+    def force_reserve(self, need: Need, chosen: tuple[int, ...] = ()) -> None:
         """Count out room that is promised already, wherever it may be, even below zero."""
-        if not chosen and self.take(need):
+        if not chosen and self.reserve(need):
             return
-        for index in chosen or _fullest_last(self.free_mb)[: need.accelerators]:
+        for index in chosen or _emptiest_first(self.free_mb)[: need.accelerators]:
             self.free_mb[index] -= need.memory_mb
 
-    def give_back(self, need: Need, chosen: tuple[int, ...] = ()) -> None:
+    def release(self, need: Need, chosen: tuple[int, ...] = ()) -> None:
         """Count in the room of a replica that leaves; if unknown, the fullest get it."""
         if chosen:
             for index in chosen:
@@ -85,13 +85,13 @@
         for index in holders[: need.accelerators]:
             self.free_mb[index] += need.memory_mb
 
-    def free_on(self, accelerators: int) -> int:
+    def max_free_mb(self, accelerators: int) -> int:
         """Return the most memory that is free on each of so many accelerators."""
         if len(self.free_mb) < accelerators:
             return 0
         return sorted(self.free_mb, reverse=True)[accelerators - 1]
 
-    def total_free(self) -> int:
+    def total_free_mb(self) -> int:
         """Return the free memory of all accelerators."""
         return sum(self.free_mb)
 
@@ -107,7 +107,7 @@
     return tuple(fitting[:accelerators])
 
 
-def hardest(needs: Iterable[Need], count: int) -> list[Need]:
+def largest(needs: Iterable[Need], count: int) -> list[Need]:
     """Return so many of the needs that are the hardest to place, the hardest first."""
     return nlargest(count, needs, key=lambda item: (item.size(), item.model))
 
@@ -121,10 +121,10 @@
     """Take room for all needs, first fit, largest first; return the first that finds none."""
     ordered = list(bins)
     for need in largest_first(needs):
-        if not any(room.allows(need) and room.take(need) for room in ordered):
+        if not any(room.allows(need) and room.reserve(need) for room in ordered):
             return need
     return None
 
 
-def _fullest_last(free_mb: Sequence[int]) -> list[int]:
+def _emptiest_first(free_mb: Sequence[int]) -> list[int]:
     return sorted(range(len(free_mb)), key=lambda index: -free_mb[index])
--- a/packages/coordination/src/mimosaspur_coordination/unsettled.py
+++ b/packages/coordination/src/mimosaspur_coordination/pendingentries.py
@@ -1,18 +1,18 @@
 """Find the models that need a closer look; all others are as the bundle wants them."""
 
 from mimosaspur_coordination.adaptermemory import lacks_adapter_memory
-from mimosaspur_coordination.demand import LOW_WINDOWS
-from mimosaspur_coordination.demand import carried
+from mimosaspur_coordination.demand import SCALE_DOWN_WINDOWS
+from mimosaspur_coordination.demand import window_capacity
 from mimosaspur_coordination.view import PlannerView
 from mimosaspur_state.bundle import ModelEntry
 from mimosaspur_state.placement import PlacementRecord
 from mimosaspur_state.placement import ReplicaState
 
 
-def unsettled_entries(view: PlannerView) -> list[ModelEntry]:
+def entries_to_place(view: PlannerView) -> list[ModelEntry]:
     """Return the entries whose record isn't settled."""
     staying = view.alive.keys() - view.draining
-    return [entry for entry in view.index.models.values() if not _is_settled(view, entry, staying)]
+    return [entry for entry in view.index.models.values() if not _is_placed(view, entry, staying)]
 
 
 def entries_to_scale(view: PlannerView) -> list[ModelEntry]:
@@ -20,7 +20,7 @@
     return [entry for entry in view.index.models.values() if _may_scale(view, entry)]
 
 
-def _is_settled(view: PlannerView, entry: ModelEntry, staying: set[str]) -> bool:
+def _is_placed(view: PlannerView, entry: ModelEntry, staying: set[str]) -> bool:
     placed = view.placed.get(entry.name)
     if placed is None or len(placed.record.replicas) < entry.replicas:
         return False
@@ -29,16 +29,16 @@
             return False
         if replica.target not in staying:
             return False
-    return not entry.adapters or not _any_lacks_room(view, entry, placed.record)
+    return not entry.adapters or not _any_lacks_adapter_room(view, entry, placed.record)
 
 
-def _any_lacks_room(view: PlannerView, entry: ModelEntry, record: PlacementRecord) -> bool:
+def _any_lacks_adapter_room(view: PlannerView, entry: ModelEntry, record: PlacementRecord) -> bool:
     statuses = [view.alive[replica.target] for replica in record.replicas]
     return any(lacks_adapter_memory(view.index, entry, status) for status in statuses)
 
 
 def _may_scale(view: PlannerView, entry: ModelEntry) -> bool:
-    if view.low_windows.get(entry.name, 0) >= LOW_WINDOWS:
+    if view.low_windows.get(entry.name, 0) >= SCALE_DOWN_WINDOWS:
         return True
     demand = view.demand.get(entry.name)
     if demand is None or max(demand.refused, demand.requests) <= view.move_cost:
@@ -48,4 +48,4 @@
         return True
     # Replicas that don't count are left out later: this only spares the models without need.
     good = [item for item in placed.record.ready() if item.version == entry.version]
-    return demand.requests - carried(view, good) > view.move_cost
+    return demand.requests - window_capacity(view, good) > view.move_cost
--- a/packages/coordination/src/mimosaspur_coordination/planner.py
+++ b/packages/coordination/src/mimosaspur_coordination/planner.py
@@ -3,49 +3,49 @@
 from collections.abc import Iterator
 from itertools import chain
 
-from mimosaspur_coordination.demand import LOW_WINDOWS
-from mimosaspur_coordination.demand import settled
-from mimosaspur_coordination.demand import unserved
-from mimosaspur_coordination.draft import Bucket
+from mimosaspur_coordination.demand import SCALE_DOWN_WINDOWS
+from mimosaspur_coordination.demand import is_stable
+from mimosaspur_coordination.demand import unserved_requests
 from mimosaspur_coordination.draft import Draft
+from mimosaspur_coordination.draft import RateLimiter
+from mimosaspur_coordination.eviction import make_room
 from mimosaspur_coordination.packing import Bin
 from mimosaspur_coordination.packing import Need
-from mimosaspur_coordination.packing import hardest
+from mimosaspur_coordination.packing import largest
 from mimosaspur_coordination.packing import pack
-from mimosaspur_coordination.room import make_room
-from mimosaspur_coordination.steps import drop_dead
-from mimosaspur_coordination.steps import drop_useless_loads
-from mimosaspur_coordination.steps import retire_outgoing
-from mimosaspur_coordination.steps import retire_unwanted
-from mimosaspur_coordination.unsettled import entries_to_scale
-from mimosaspur_coordination.unsettled import unsettled_entries
+from mimosaspur_coordination.pendingentries import entries_to_place
+from mimosaspur_coordination.pendingentries import entries_to_scale
+from mimosaspur_coordination.replicaremoval import drop_dead
+from mimosaspur_coordination.replicaremoval import drop_obsolete_loads
+from mimosaspur_coordination.replicaremoval import retire_replaced
+from mimosaspur_coordination.replicaremoval import retire_unwanted
 from mimosaspur_coordination.view import DemandSum
 from mimosaspur_coordination.view import PlannerView
 from mimosaspur_coordination.view import RecordChange
 from mimosaspur_state.bundle import ModelEntry
 
-TRIED_TARGETS = 4
-LOOK_AHEAD = 24
+MAX_TRIED_TARGETS = 4
+MAX_LOOKAHEAD_MODELS = 24
 """Look this far ahead at the hardest to place: all of them would cost the square of the models."""
 
 
-def plan(view: PlannerView, bucket: Bucket) -> list[RecordChange]:
+def plan(view: PlannerView, bucket: RateLimiter) -> list[RecordChange]:
     """Return the next changes, most urgent first; each is safe alone and in any order."""
     if any(placed.record.generation > view.index.generation for placed in view.placed.values()):
         # Another planner knows a newer bundle: ours would undo its moves.
         return []
     draft = Draft(view, bucket)
-    entries = _by_urgency(draft, unsettled_entries(view))
+    entries = _by_urgency(draft, entries_to_place(view))
     waits = _load_missing(draft, entries)
     retire_unwanted(draft)
     for entry in entries:
         drop_dead(draft, entry)
-        drop_useless_loads(draft, entry)
-        retire_outgoing(draft, entry)
+        drop_obsolete_loads(draft, entry)
+        retire_replaced(draft, entry)
     if not waits:
         # Room that a model without any replica waits for must not go to a second replica.
-        _fill_up(draft, entries)
-        _follow_demand(draft, _by_urgency(draft, entries_to_scale(view)))
+        _add_missing_replicas(draft, entries)
+        _scale_to_demand(draft, _by_urgency(draft, entries_to_scale(view)))
     return draft.changes()
 
 
@@ -61,50 +61,56 @@
 
 def _load_missing(draft: Draft, entries: list[ModelEntry]) -> bool:
     """Load what has no replica of the wanted version; tell whether one waits for room."""
-    missing = [entry for entry in entries if not draft.good(entry) and not _coming(draft, entry)]
+    missing = [
+        entry for entry in entries if not draft.up_to_date(entry) and not _is_loading(draft, entry)
+    ]
     waits = False
     held_back: list[ModelEntry] = []
     for position, entry in enumerate(missing):
         if not draft.has_room(entry):
             waits |= make_room(draft, entry)
-        elif draft.loads_left == 0:
+        elif draft.remaining_loads == 0:
             waits = True
-        elif not _load_first(draft, entry, [*missing[position + 1 :], *held_back]):
+        elif not _load_first_replica(draft, entry, [*missing[position + 1 :], *held_back]):
             waits = True
             held_back.append(entry)
     return waits
 
 
-def _load_first(draft: Draft, entry: ModelEntry, later: list[ModelEntry]) -> bool:
+def _load_first_replica(draft: Draft, entry: ModelEntry, later: list[ModelEntry]) -> bool:
     """Load a model's first replica; return False if it has to wait."""
-    rest = hardest([Need.of(other) for other in later], LOOK_AHEAD)
-    room, leaves_room = best_room(draft, entry, rest)
+    rest = largest([Need.of(other) for other in later], MAX_LOOKAHEAD_MODELS)
+    room, leaves_room = best_target(draft, entry, rest)
     if not leaves_room and pack(_bins(draft), [Need.of(entry), *rest]) is None:
         # All fit only if a larger one is placed first: a load's time is less than never.
         return False
-    return draft.load(entry, room.target, "no replica of this version is ready")
+    return draft.start_load(entry, room.target, "no replica of this version is ready")
 
 
-def best_room(draft: Draft, entry: ModelEntry, rest: list[Need]) -> tuple[Bin, bool]:
+def best_target(draft: Draft, entry: ModelEntry, rest: list[Need]) -> tuple[Bin, bool]:
     """Return the best target with room, and whether it leaves room for the rest.
 
     At least one target must have room.
     """
     need = Need.of(entry)
-    fitting = _best_first(draft, entry, draft.fitting(entry))
-    for room in chain(fitting[:TRIED_TARGETS], _first_fit(draft, fitting, need, rest)):
+    fitting = _best_first(draft, entry, draft.candidates_with_room(entry))
+    for room in chain(fitting[:MAX_TRIED_TARGETS], _first_fit_target(draft, fitting, need, rest)):
         if _leaves_room(draft, room, need, rest):
             return room, True
     return fitting[0], False
 
 
-def best_spare_room(draft: Draft, entry: ModelEntry) -> Bin | None:
+def best_extra_target(draft: Draft, entry: ModelEntry) -> Bin | None:
     """Return the best target for a further replica.
 
     A target that still loads a model's only replica gets none: it lays out its accelerators
     in the order in which it sees its loads, and the further one could come in the way.
     """
-    fitting = [room for room in draft.fitting(entry) if room.target not in draft.busy]
+    fitting = [
+        room
+        for room in draft.candidates_with_room(entry)
+        if room.target not in draft.loading_sole_replica
+    ]
     return next(iter(_best_first(draft, entry, fitting)), None)
 
 
@@ -119,14 +125,16 @@
         failed = (entry.name, room.target) in draft.view.failed_ms
         # An engine holds an adapter once, so not beside an older version of its model.
         clashes = not adapters.isdisjoint(draft.view.alive[room.target].residents)
-        busy = not draft.is_free_to_load(room.target)
+        busy = not draft.can_accept_load(room.target)
         spread = domains.count(room.domain)
-        return (failed or clashes, busy, spread, -room.total_free(), room.target)
+        return (failed or clashes, busy, spread, -room.total_free_mb(), room.target)
 
     return sorted(rooms, key=preference)
 
 
-def _first_fit(draft: Draft, fitting: list[Bin], need: Need, rest: list[Need]) -> Iterator[Bin]:
+def _first_fit_target(
+    draft: Draft, fitting: list[Bin], need: Need, rest: list[Need]
+) -> Iterator[Bin]:
     """Yield the target that packing all by size gives this need, worked out only when asked."""
     bins = _bins(draft)
     larger = [other for other in rest if (other.size(), other.model) > (need.size(), need.model)]
@@ -144,7 +152,7 @@
     bins = _bins(draft)
     for room in bins:
         if room.target == chosen.target:
-            room.take(need)
+            room.reserve(need)
     return pack(bins, rest) is None
 
 
@@ -152,45 +160,45 @@
     return [room.copy() for name, room in draft.bins.items() if name not in draft.view.draining]
 
 
-def _coming(draft: Draft, entry: ModelEntry) -> bool:
-    loads = draft.loads(entry.name)
-    return any(item.version == entry.version and draft.stays(item) for item in loads)
+def _is_loading(draft: Draft, entry: ModelEntry) -> bool:
+    loads = draft.loading(entry.name)
+    return any(item.version == entry.version and draft.is_staying(item) for item in loads)
 
 
-def _count(draft: Draft, entry: ModelEntry) -> int:
-    coming = [item for item in draft.loads(entry.name) if draft.stays(item)]
-    return len(draft.good(entry)) + len(coming)
+def _replica_count(draft: Draft, entry: ModelEntry) -> int:
+    coming = [item for item in draft.loading(entry.name) if draft.is_staying(item)]
+    return len(draft.up_to_date(entry)) + len(coming)
 
 
-def _fill_up(draft: Draft, entries: list[ModelEntry]) -> None:
+def _add_missing_replicas(draft: Draft, entries: list[ModelEntry]) -> None:
     """Load up to the replicas that the bundle names."""
     for entry in entries:
-        if draft.loads_left == 0:
+        if draft.remaining_loads == 0:
             return
-        if not draft.good(entry) or _count(draft, entry) >= entry.replicas:
+        if not draft.up_to_date(entry) or _replica_count(draft, entry) >= entry.replicas:
             continue
-        room = best_spare_room(draft, entry)
+        room = best_extra_target(draft, entry)
         if room:
-            draft.load(entry, room.target, f"it has fewer than {entry.replicas} replicas")
+            draft.start_load(entry, room.target, f"it has fewer than {entry.replicas} replicas")
 
 
-def _follow_demand(draft: Draft, entries: list[ModelEntry]) -> None:
+def _scale_to_demand(draft: Draft, entries: list[ModelEntry]) -> None:
     """Add replicas that earn more deadlines than a move costs; take away those long unused."""
     for entry in entries:
-        good = draft.good(entry)
-        if not good or len(good) < entry.replicas or draft.loads(entry.name):
+        good = draft.up_to_date(entry)
+        if not good or len(good) < entry.replicas or draft.loading(entry.name):
             continue
-        if not all(settled(draft.view, replica.target) for replica in good):
+        if not all(is_stable(draft.view, replica.target) for replica in good):
             continue
-        lost = unserved(draft.view, entry, good)
-        if lost > draft.view.move_cost and _count(draft, entry) < entry.ceiling():
-            room = best_spare_room(draft, entry)
-            if room and settled(draft.view, room.target):
-                draft.load(entry, room.target, f"{lost:.0f} requests a window find no place")
-        elif len(good) > entry.replicas and _long_low(draft, entry):
-            fullest = min(good, key=lambda item: draft.bins[item.target].total_free())
-            draft.leave(entry.name, fullest, "its demand stayed low")
-
-
-def _long_low(draft: Draft, entry: ModelEntry) -> bool:
-    return draft.view.low_windows.get(entry.name, 0) >= LOW_WINDOWS
+        lost = unserved_requests(draft.view, entry, good)
+        if lost > draft.view.move_cost and _replica_count(draft, entry) < entry.ceiling():
+            room = best_extra_target(draft, entry)
+            if room and is_stable(draft.view, room.target):
+                draft.start_load(entry, room.target, f"{lost:.0f} requests a window find no place")
+        elif len(good) > entry.replicas and _is_demand_long_low(draft, entry):
+            fullest = min(good, key=lambda item: draft.bins[item.target].total_free_mb())
+            draft.retire(entry.name, fullest, "its demand stayed low")
+
+
+def _is_demand_long_low(draft: Draft, entry: ModelEntry) -> bool:
+    return draft.view.low_windows.get(entry.name, 0) >= SCALE_DOWN_WINDOWS
--- a/packages/coordination/src/mimosaspur_coordination/decoded.py
+++ b/packages/coordination/src/mimosaspur_coordination/recordcache.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Decoded:
+class DecodedRecord:
     """Join an object with the record that it holds; None if it can't be read."""
 
     item: StoredObject
@@ -23,11 +23,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
+class RecordListing:
     """Hold what is under a prefix, as of a number of changes of the mirror."""
 
     changes: int
-    found: tuple[tuple[StoredObject, PlacementRecord], ...]
+    records: tuple[tuple[StoredObject, PlacementRecord], ...]
 
 
 class RecordCache:
@@ -35,8 +35,8 @@
 
     def __init__(self, mirror: Mirror) -> None:
         self.mirror = mirror
-        self.known: dict[str, Decoded] = {}
-        self.listed: dict[str, Listed] = {}
+        self.decoded: dict[str, DecodedRecord] = {}
+        self.listings: dict[str, RecordListing] = {}
         self.lock = threading.Lock()
 
     def get(self, key: str) -> PlacementRecord | None:
@@ -44,15 +44,15 @@
         item = self.mirror.get(key)
         if item is None:
             with self.lock:
-                self.known.pop(key, None)
+                self.decoded.pop(key, None)
             return None
-        return self._read(item)
+        return self._require_record(item)
 
     def all(self, prefix: str) -> list[tuple[StoredObject, PlacementRecord]]:
         """Return the records under a prefix by key; raise ValidationError if one is unreadable."""
         items = self.mirror.list_prefix(prefix)
-        found = [(item, self._read(item)) for item in items]
-        self._forget_absent(prefix, items)
+        found = [(item, self._require_record(item)) for item in items]
+        self._evict_absent(prefix, items)
         return found
 
     def readable(self, prefix: str) -> tuple[tuple[StoredObject, PlacementRecord], ...]:
@@ -62,40 +62,40 @@
         """
         # Counted before the reading: a change in between is then read twice, never missed.
         changes = self.mirror.change_count
-        listed = self.listed.get(prefix)
+        listed = self.listings.get(prefix)
         if listed is not None and listed.changes == changes:
-            return listed.found
+            return listed.records
         items = self.mirror.list_prefix(prefix)
         decoded = [self._decoded(item) for item in items]
         found = tuple((it.item, it.record) for it in decoded if it.record is not None)
-        self._forget_absent(prefix, items)
-        self.listed[prefix] = Listed(changes, found)
+        self._evict_absent(prefix, items)
+        self.listings[prefix] = RecordListing(changes, found)
         return found
 
-    def _read(self, item: StoredObject) -> PlacementRecord:
+    def _require_record(self, item: StoredObject) -> PlacementRecord:
         record = self._decoded(item).record
         # Who must not go on without it gets the reader's own error.
         return placement_from_value(item.value) if record is None else record
 
-    def _decoded(self, item: StoredObject) -> Decoded:
-        known = self.known.get(item.key)
+    def _decoded(self, item: StoredObject) -> DecodedRecord:
+        known = self.decoded.get(item.key)
         # A mirror keeps one object for each version, and a key made anew may count anew.
         if known is not None and known.item is item:
             return known
         with self.lock:
-            decoded = Decoded(item, _record_in(item))
-            self.known[item.key] = decoded
+            decoded = DecodedRecord(item, _decode_record(item))
+            self.decoded[item.key] = decoded
         return decoded
 
-    def _forget_absent(self, prefix: str, items: list[StoredObject]) -> None:
+    def _evict_absent(self, prefix: str, items: list[StoredObject]) -> None:
         present = {item.key for item in items}
         with self.lock:
-            gone = [key for key in self.known if key.startswith(prefix) and key not in present]
+            gone = [key for key in self.decoded if key.startswith(prefix) and key not in present]
             for key in gone:
-                del self.known[key]
+                del self.decoded[key]
 
 
-def _record_in(item: StoredObject) -> PlacementRecord | None:
+def _decode_record(item: StoredObject) -> PlacementRecord | None:
     try:
         return placement_from_value(item.value)
     except msgspec.ValidationError as error:
--- a/packages/coordination/src/mimosaspur_coordination/regions.py
+++ b/packages/coordination/src/mimosaspur_coordination/regions.py
@@ -9,13 +9,13 @@
 from mimosaspur_state.objects import ObjectStore
 from mimosaspur_state.records import TargetStatus
 
-ALL_STATUSES = "status/"
+STATUS_PREFIX = "status/"
 
 
 def statuses_by_region(store: ObjectStore) -> dict[str, list[TargetStatus]]:
     """Return the last known status of every target, by region."""
     found: dict[str, list[TargetStatus]] = {}
-    for item in store.list(ALL_STATUSES).objects:
+    for item in store.list(STATUS_PREFIX).objects:
         region = region_of(item.key)
         found.setdefault(region, []).append(TargetStatus.from_value(item.value))
     return found
@@ -27,11 +27,11 @@
 
 
 def check_fit_everywhere(
-    store: ObjectStore, bundle: Bundle, in_force: Bundle | None, *, may_be_unknown: bool
+    store: ObjectStore, bundle: Bundle, in_force: Bundle | None, *, allow_unknown_status: bool
 ) -> None:
     """Raise BUNDLE_DOES_NOT_FIT unless every region has room, each planned by itself."""
     regions = statuses_by_region(store)
-    if not regions and not may_be_unknown:
+    if not regions and not allow_unknown_status:
         detail = "No target's status is known. Start targets, or roll --without-fit-check."
         raise MimosaspurError(ResultCode.BUNDLE_DOES_NOT_FIT, detail)
     for region, targets in regions.items():
--- a/packages/coordination/src/mimosaspur_coordination/steps.py
+++ b/packages/coordination/src/mimosaspur_coordination/replicaremoval.py
@@ -12,70 +12,72 @@
         if model in draft.view.index.models:
             continue
         if not draft.records[model].replicas:
-            draft.change(model, draft.records[model], "the bundle no longer names it")
+            draft.update_record(model, draft.records[model], "the bundle no longer names it")
         for replica in draft.records[model].replicas:
-            if replica.state is ReplicaState.LOAD or not draft.live(replica):
+            if replica.state is ReplicaState.LOAD or not draft.is_live(replica):
                 draft.drop(model, replica, "the bundle no longer names it")
-            elif replica.state is ReplicaState.READY and not _hands_over(draft, model, replica):
-                draft.leave(model, replica, "the bundle no longer names it")
+            elif replica.state is ReplicaState.READY and not _has_pending_handover(
+                draft, model, replica
+            ):
+                draft.retire(model, replica, "the bundle no longer names it")
 
 
 def drop_dead(draft: Draft, entry: ModelEntry) -> None:
     """Drop replicas of dead targets: loads at once, others once a replacement is ready."""
-    replaced = bool(draft.good(entry))
+    replaced = bool(draft.up_to_date(entry))
     for replica in draft.record(entry.name).replicas:
-        if draft.live(replica):
+        if draft.is_live(replica):
             continue
         if replica.state is ReplicaState.LOAD or replaced:
             draft.drop(entry.name, replica, f"target {replica.target} is not alive")
 
 
-def drop_useless_loads(draft: Draft, entry: ModelEntry) -> None:
+def drop_obsolete_loads(draft: Draft, entry: ModelEntry) -> None:
     """Drop loads of other versions, on targets that leave, and those that take too long."""
-    for replica in draft.loads(entry.name):
+    for replica in draft.loading(entry.name):
         if replica.version != entry.version:
             draft.drop(entry.name, replica, f"version {replica.version} is no longer wanted")
-        elif not draft.stays(replica):
+        elif not draft.is_staying(replica):
             draft.drop(entry.name, replica, f"target {replica.target} is leaving")
-        elif _is_stuck(draft, entry, replica):
+        elif _is_load_timed_out(draft, entry, replica):
             draft.drop(entry.name, replica, f"target {replica.target} did not load it in time")
 
 
-def retire_outgoing(draft: Draft, entry: ModelEntry) -> None:
+def retire_replaced(draft: Draft, entry: ModelEntry) -> None:
     """Have replicas go that are old, lack room or leave, never before one replaces them."""
-    good = draft.good(entry)
+    good = draft.up_to_date(entry)
     if not good:
         return
     ready = draft.live_ready(entry.name)
     outgoing = [replica for replica in ready if replica not in good]
     # Those on leaving targets go first: their instances wait for it.
-    outgoing.sort(key=draft.stays)
+    outgoing.sort(key=draft.is_staying)
     surplus = len(ready) - entry.replicas
-    if surplus <= 0 and outgoing and not _can_add(draft, entry):
+    if surplus <= 0 and outgoing and not _can_add_replica(draft, entry):
         surplus = 1
     for replica in outgoing[: max(0, surplus)]:
-        draft.leave(entry.name, replica, f"a replacement for {replica.target} is ready")
+        draft.retire(entry.name, replica, f"a replacement for {replica.target} is ready")
 
 
-def _hands_over(draft: Draft, model: str, replica: Replica) -> bool:
+def _has_pending_handover(draft: Draft, model: str, replica: Replica) -> bool:
     """Tell whether another model takes over an adapter of it, and is not ready with it yet."""
-    former = draft.view.former.get(f"{model}@{replica.version}")
+    former = draft.view.former_entries.get(f"{model}@{replica.version}")
     for adapter in former.adapters if former else ():
         served = draft.view.index.served.get(adapter.name)
         # An engine can't hold one resident twice: the same version waits until this one left.
         if served is None or served.resident() == adapter.resident():
             continue
-        if not draft.good(served.model) and _can_add(draft, served.model):
+        if not draft.up_to_date(served.model) and _can_add_replica(draft, served.model):
             return True
     return False
 
 
-def _is_stuck(draft: Draft, entry: ModelEntry, replica: Replica) -> bool:
+def _is_load_timed_out(draft: Draft, entry: ModelEntry, replica: Replica) -> bool:
     view = draft.view
     since_ms = view.loading_since_ms.get((entry.name, replica.target, replica.version))
     return since_ms is not None and view.now_ms - since_ms >= view.load_timeout_ms
 
 
-def _can_add(draft: Draft, entry: ModelEntry) -> bool:
+def _can_add_replica(draft: Draft, entry: ModelEntry) -> bool:
     """Tell whether another replica is on its way or finds room."""
-    return bool(draft.loads(entry.name)) or draft.has_room(entry)
+    return bool(draft.loading(entry.name)) or draft.has_room(entry)
--- a/packages/coordination/src/mimosaspur_coordination/rolls.py
+++ b/packages/coordination/src/mimosaspur_coordination/rolls.py
@@ -106,10 +106,10 @@
     stored = _require_settled(settled)
     if stored is None:
         return written
-    return _same_or_refuse(written, WrittenBundle.from_value(stored.value))
+    return _same_or_raise(written, WrittenBundle.from_value(stored.value))
 
 
-def _same_or_refuse(written: WrittenBundle, stored: WrittenBundle) -> WrittenBundle:
+def _same_or_raise(written: WrittenBundle, stored: WrittenBundle) -> WrittenBundle:
     if (written.digest, written.operator) == (stored.digest, stored.operator):
         return stored
     detail = f"{stored.operator} wrote {stored.bundle.name!r} before."
@@ -141,7 +141,7 @@
     _check_approval(written, read_approval(store, name))
     _check_base(written, head)
     in_force = read_bundle(store, head.current.bundle).bundle if head else None
-    check_fit_everywhere(store, written.bundle, in_force, may_be_unknown=without_fit_check)
+    check_fit_everywhere(store, written.bundle, in_force, allow_unknown_status=without_fit_check)
     generation = head.current.generation + 1 if head else 1
     wanted = Roll(generation, name, written.digest, step.operator, step.step_id, clock.wall_ms())
     return _put_head(store, head, version, wanted)
@@ -164,7 +164,7 @@
     winner = Head.from_value(stored.value).current
     if (winner.bundle, winner.digest) == (wanted.bundle, wanted.digest):
         return RollResult(winner, already=True)
-    detail = f"{_told(winner)}. Nothing of {wanted.bundle!r} is in force."
+    detail = f"{_describe_roll(winner)}. Nothing of {wanted.bundle!r} is in force."
     raise MimosaspurError(ResultCode.ROLL_CONFLICT, detail)
 
 
@@ -197,12 +197,12 @@
         return
     detail = (
         f"{written.bundle.name!r} was written against generation "
-        f"{written.bundle.base_generation}. {_told(head.current)}."
+        f"{written.bundle.base_generation}. {_describe_roll(head.current)}."
     )
     raise MimosaspurError(ResultCode.SUPERSEDED, detail)
 
 
-def _told(roll: Roll) -> str:
+def _describe_roll(roll: Roll) -> str:
     return (
         f"{roll.operator} rolled {roll.bundle!r} as generation {roll.generation} "
         f"at {roll.at_ms} ms since the epoch"
--- a/packages/coordination/src/mimosaspur_coordination/carriers.py
+++ b/packages/coordination/src/mimosaspur_coordination/serviceregistration.py
@@ -15,7 +15,7 @@
 SERVICE_VERSION = "service"
 
 
-class Carriers:
+class ServiceRegistration:
     """Put this target on a service's record, and take it off while another one stays."""
 
     def __init__(
@@ -33,16 +33,16 @@
         self.key = keys.carrier(region, service)
         self.service = service
         self.target = target
-        self.first_seen: dict[str, int] = {}
+        self.first_versions: dict[str, int] = {}
 
-    def registered(self) -> bool:
+    def is_registered(self) -> bool:
         """Tell whether the local copy of the record names this target."""
         return bool(self._record().on(self.target))
 
     def register(self) -> bool:
         """Name this target as ready; tell whether it is."""
         # Whether the others live is asked anew with every order to leave.
-        self.first_seen.clear()
+        self.first_versions.clear()
         if not self.mirror.synced.is_set():
             return False
         record = self._record()
@@ -51,18 +51,18 @@
             return True
         return self._write(record.with_replica(replica))
 
-    def withdraw(self) -> bool:
+    def deregister(self) -> bool:
         """Take this target off if a living one stays; tell whether it is off."""
         record = self._record()
         if not record.on(self.target):
             return True
         others = [replica for replica in record.ready() if replica.target != self.target]
         # A carrier that died stays on the record, since nobody else takes it off.
-        if not any(self._beats(replica.target) for replica in others):
+        if not any(self._is_alive(replica.target) for replica in others):
             return False
         return self._write(record.without(self.target, SERVICE_VERSION))
 
-    def _beats(self, target: str) -> bool:
+    def _is_alive(self, target: str) -> bool:
         """Tell whether a target has written its status since it was first looked at."""
         try:
             status = self.store.get(keys.status(self.region, target))
@@ -70,7 +70,7 @@
             return False
         if status is None:
             return False
-        return status.version > self.first_seen.setdefault(target, status.version)
+        return status.version > self.first_versions.setdefault(target, status.version)
 
     def _record(self) -> PlacementRecord:
         item = self.mirror.get(self.key)
--- a/packages/coordination/src/mimosaspur_coordination/targetdirectory.py
+++ b/packages/coordination/src/mimosaspur_coordination/targetdirectory.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from mimosaspur_coordination.decoded import RecordCache
 from mimosaspur_coordination.hints import TargetHint
 from mimosaspur_coordination.mirror import Mirror
+from mimosaspur_coordination.recordcache import RecordCache
 from mimosaspur_coordination.residentindex import ResidentIndex
 from mimosaspur_coordination.residentindex import resident_name
 from mimosaspur_coordination.routing import Candidate
--- a/packages/coordination/src/mimosaspur_coordination/view.py
+++ b/packages/coordination/src/mimosaspur_coordination/view.py
@@ -12,7 +12,7 @@
 DEFAULT_WINDOW_MS = 30_000
 DEFAULT_SERVICE_TIME_MS = 500
 DEFAULT_LOAD_TIMEOUT_MS = 180_000
-DEFAULT_AT_ONCE = 6
+DEFAULT_MAX_CONCURRENT_LOADS = 6
 
 LoadKey = tuple[str, str, str]
 """Name a load: model, target, version."""
@@ -47,13 +47,13 @@
     alive: dict[str, TargetStatus]
     now_ms: int
     draining: frozenset[str] = frozenset()
-    former: dict[str, ModelEntry] = field(default_factory=dict)
+    former_entries: dict[str, ModelEntry] = field(default_factory=dict)
     demand: dict[str, DemandSum] = field(default_factory=dict)
     low_windows: dict[str, int] = field(default_factory=dict)
     changed_ms: dict[str, int] = field(default_factory=dict)
     loading_since_ms: dict[LoadKey, int] = field(default_factory=dict)
     failed_ms: dict[tuple[str, str], int] = field(default_factory=dict)
-    at_once: int = DEFAULT_AT_ONCE
+    max_concurrent_loads: int = DEFAULT_MAX_CONCURRENT_LOADS
     move_cost: float = DEFAULT_MOVE_COST
     window_ms: int = DEFAULT_WINDOW_MS
     service_time_ms: int = DEFAULT_SERVICE_TIME_MS
--- a/packages/daemon/src/mimosaspur_daemon/behind.py
+++ b/packages/daemon/src/mimosaspur_daemon/behind.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from mimosaspur_coordination.carriers import Carriers
 from mimosaspur_coordination.generation import BundleHolder
 from mimosaspur_coordination.mirror import Mirror
+from mimosaspur_coordination.serviceregistration import ServiceRegistration
 from mimosaspur_coordination.targetdirectory import service_resident
 from mimosaspur_daemon.engine_keeper import EngineKeeper
 from mimosaspur_daemon.engine_situation import ServingSide
@@ -168,7 +168,7 @@
         self.resident = service_resident(target.service)
         self.runner: Runner = ServiceRunner(PlainService(target.address))
         self.on_change: list[Callable[[], None]] = []
-        self.carriers = Carriers(
+        self.carriers = ServiceRegistration(
             store,
             mirror,
             region=settings.instance.region,
@@ -209,12 +209,12 @@
 
     def gone(self) -> bool:
         """Tell whether the record no longer names this target."""
-        return not self.carriers.registered()
+        return not self.carriers.is_registered()
 
     def leave(self) -> bool:
         """Take this target off the record if another one carries the service."""
         self.leaving = True
-        return self.carriers.withdraw()
+        return self.carriers.deregister()
 
     def stay(self) -> None:
         """Register again."""
--- a/packages/daemon/src/mimosaspur_daemon/engine_keeper.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_keeper.py
@@ -171,16 +171,18 @@
     def _mark_lost(self, situation: Situation) -> None:
         for held in situation.assignments:
             lost = held.state is not ReplicaState.LOAD
-            if not lost or situation.report.ready(held.base()):
+            if not lost or situation.report.ready(held.base_id()):
                 continue
-            log(PART, "The engine lost a replica.", resident=held.base())
+            log(PART, "The engine lost a replica.", resident=held.base_id())
             self.records.change(replicas.mark_lost, held)
 
     def _mark_ready(self, situation: Situation) -> None:
         for held in situation.assignments:
-            if held.state is not ReplicaState.LOAD or not orders.whole(held, situation.report):
+            if held.state is not ReplicaState.LOAD or not orders.is_complete(
+                held, situation.report
+            ):
                 continue
-            if any(self._unload_pending(name) for name in (held.base(), *held.adapters())):
+            if any(self._unload_pending(name) for name in (held.base_id(), *held.adapter_ids())):
                 continue
             self.records.change(replicas.mark_ready, held)
 
@@ -188,7 +190,7 @@
         for held in situation.assignments:
             if held.state is not ReplicaState.LEAVING or not self.records.answers:
                 continue
-            if not replicas.replaced(held.record, self.name, held.version, situation.index):
+            if not replicas.is_replaced(held.record, self.name, held.version, situation.index):
                 continue
             self._leave_one(held, situation)
 
@@ -196,9 +198,9 @@
         parts = orders.residents_of(held, situation.report)
         for name in parts:
             self._close(name)
-        left = self.records.change(partial(replicas.leave, index=situation.index), held)
+        left = self.records.change(partial(replicas.remove_replaced, index=situation.index), held)
         if left:
-            log(PART, "A replica left.", resident=held.base())
+            log(PART, "A replica left.", resident=held.base_id())
             self.wake.set()
             return
         # It stays the one that callers need until a replacement is ready.
@@ -225,7 +227,7 @@
             step = orders.next_load(held, situation.report)
             if step is None or not self.sender.fresh():
                 continue
-            promised_mb = orders.promised_mb(situation.assignments, self.ledger)
+            promised_mb = orders.reserved_mb(situation.assignments, self.ledger)
             if not self.sender.load(step, promised_mb):
                 self.metrics.count("engine.load_waits")
 
--- a/packages/daemon/src/mimosaspur_daemon/engine_orders.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_orders.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from mimosaspur_coordination.engineport import EnginePort
-from mimosaspur_coordination.orders import Load
+from mimosaspur_coordination.orders import PlannedLoad
 from mimosaspur_state.clock import Clock
 from mimosaspur_state.engine import EngineOrder
 from mimosaspur_state.engine import EngineState
@@ -80,7 +80,7 @@
         """Have the engine refuse every order with an older token."""
         self._send(EngineOrder(uuid.uuid4().hex, self.token, OrderKind.FENCE))
 
-    def load(self, step: Load, promised_mb: Sequence[int]) -> bool:
+    def load(self, step: PlannedLoad, promised_mb: Sequence[int]) -> bool:
         """Order a load that fits, or repeat one whose outcome is unknown; tell if it was sent."""
         if self._repeated(step.resident):
             return True
@@ -115,7 +115,7 @@
         return True
 
     def _reserve(
-        self, order_id: str, step: Load, promised_mb: Sequence[int]
+        self, order_id: str, step: PlannedLoad, promised_mb: Sequence[int]
     ) -> tuple[int, ...] | None:
         now_ms = self.clock.now_ms()
         if step.base:
@@ -127,7 +127,7 @@
             order_id,
             step.resident,
             step.memory_mb,
-            step.count,
+            step.accelerators,
             now_ms=now_ms,
             headroom_mb=step.headroom_mb,
             keep_free_mb=promised_mb,
--- a/packages/daemon/src/mimosaspur_daemon/engine_records.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_records.py
@@ -36,7 +36,7 @@
         if not self.answers:
             return False
         try:
-            return bool(change(self.store, held.item, self.target, held.version, learn=learn))
+            return bool(change(self.store, held.item, self.target, held.version, on_update=learn))
         except StoreUnavailable as error:
             log(PART, "The object API did not settle a change.", error=str(error))
             self.answers = False
@@ -45,7 +45,7 @@
     def let_go(self, item: Resident, situation: Situation) -> bool:
         """Tell whether the record itself, not the mirror's copy, lets a resident go."""
         base = item.base or item.id
-        if item.base and any(held.base() == base for held in situation.assignments):
+        if item.base and any(held.base_id() == base for held in situation.assignments):
             return not still_to_come(item, situation, self.store, self.region)
         if not self.answers:
             return False
@@ -63,4 +63,4 @@
         entry = situation.index.models.get(model)
         if entry is None or entry.version != version:
             return True
-        return replicas.replaced(record, self.target, version, situation.index)
+        return replicas.is_replaced(record, self.target, version, situation.index)
--- a/packages/daemon/src/mimosaspur_daemon/engine_situation.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_situation.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass
 
 from mimosaspur_coordination import orders
-from mimosaspur_coordination.decoded import RecordCache
 from mimosaspur_coordination.mirror import Mirror
 from mimosaspur_coordination.orders import Assignment
+from mimosaspur_coordination.recordcache import RecordCache
 from mimosaspur_state import keys
 from mimosaspur_state.bundle import BundleIndex
 from mimosaspur_state.engine import EngineState
@@ -65,11 +65,11 @@
             self.index = index
             self.asked = asked
             self.known = [record for _, record in asked]
-            self.ready = orders.models_ready(self.known, index)
+            self.ready = orders.ready_models(self.known, index)
             self.last = None
         if self.last is None or self.last.report != report:
-            assignments = orders.assigned_here(asked, self.target, index)
-            unwanted = orders.unwanted(assignments, report, index, self.ready)
+            assignments = orders.assignments_on(asked, self.target, index)
+            unwanted = orders.unwanted_residents(assignments, report, index, self.ready)
             self.last = Situation(report, index, self.known, assignments, unwanted)
         return self.last
 
@@ -79,7 +79,7 @@
     served = situation.index.served.get(adapter.id.rpartition("@")[0])
     if served is None or (adapter.base or "").startswith(f"{served.model.name}@"):
         return False
-    if any(held.base() == served.model.resident() for held in situation.assignments):
+    if any(held.base_id() == served.model.resident() for held in situation.assignments):
         # Decided by our engine's own report already.
         return False
     found = [record for record in situation.records if record.model == served.model.name]
--- a/packages/daemon/src/mimosaspur_daemon/entryrole.py
+++ b/packages/daemon/src/mimosaspur_daemon/entryrole.py
@@ -50,7 +50,7 @@
             watch_interval_ms=settings.platform.watch_pace_ms,
         )
         self.fetcher = BundleFetcher(self.store, self.holder)
-        self.mirror.listeners.append(self.fetcher.head_changed)
+        self.mirror.listeners.append(self.fetcher.on_change)
         self.directory = TargetDirectory(self.mirror, region=region)
         self.mirror.listeners.append(self.directory.on_drain_change)
         self.demand = DemandCounter()
--- a/packages/daemon/src/mimosaspur_daemon/planner_watch.py
+++ b/packages/daemon/src/mimosaspur_daemon/planner_watch.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass
 from dataclasses import field
 
-from mimosaspur_coordination.decoded import RecordCache
-from mimosaspur_coordination.demand import LowWindows
+from mimosaspur_coordination.demand import LowDemandCounter
 from mimosaspur_coordination.demand import sum_reports
 from mimosaspur_coordination.mirror import Mirror
+from mimosaspur_coordination.recordcache import RecordCache
 from mimosaspur_coordination.view import DEFAULT_SERVICE_TIME_MS
 from mimosaspur_coordination.view import LoadKey
 from mimosaspur_coordination.view import Placed
@@ -64,7 +64,7 @@
         self.service_time_ms = service_time_ms
         self.statuses = Beats(settings.planner.status_grace_ms)
         self.reports = Beats(settings.planner.demand_window_ms)
-        self.low = LowWindows()
+        self.low = LowDemandCounter()
         self.replicas: set[Replica] | None = None
         self.changed_ms: dict[str, int] = {}
         self.loading_since_ms: dict[LoadKey, int] = {}
@@ -85,18 +85,18 @@
             alive=alive,
             now_ms=now_ms,
             draining=self._draining(alive),
-            former=self.former,
+            former_entries=self.former,
             demand=sum_reports(self._reports(now_ms), planner.demand_window_ms),
             changed_ms=self.changed_ms,
             loading_since_ms=self.loading_since_ms,
             failed_ms=self.failed_ms,
-            at_once=self.settings.weight_store.at_once,
+            max_concurrent_loads=self.settings.weight_store.at_once,
             move_cost=planner.move_cost,
             window_ms=planner.demand_window_ms,
             service_time_ms=self._service_time_ms(alive),
             load_timeout_ms=self.load_timeout_ms,
         )
-        view.low_windows = self.low.count(view)
+        view.low_windows = self.low.update(view)
         return view
 
     def forgotten(self, now_ms: int) -> list[StoredObject]:
--- a/packages/daemon/src/mimosaspur_daemon/targetrole.py
+++ b/packages/daemon/src/mimosaspur_daemon/targetrole.py
@@ -41,7 +41,7 @@
         self.holder = BundleHolder()
         self.mirror = self._mirror()
         self.fetcher = BundleFetcher(self.store, self.holder)
-        self.mirror.listeners.append(self.fetcher.head_changed)
+        self.mirror.listeners.append(self.fetcher.on_change)
         self.queue = self._queue()
         self.behind = self._behind()
         self.serving = self._serving()
--- a/packages/daemon/src/mimosaspur_daemon/targetserver.py
+++ b/packages/daemon/src/mimosaspur_daemon/targetserver.py
@@ -222,13 +222,13 @@
 
     @_handle.register
     def _(self, message: BundleWanted, connection: EntryConnection) -> None:
-        packed = self.holder.pack()
+        packed = self.holder.encode_current()
         if packed and packed[0] > message.have:
             connection.wire.send(BundleOffer(*packed))
 
     @_handle.register
     def _(self, message: BundleOffer, connection: EntryConnection) -> None:
-        self.holder.unpack(message.generation, message.packed)
+        self.holder.apply_encoded(message.generation, message.packed)
 
     def _attempt(self, submit: Submit, connection: EntryConnection) -> RunningAttempt:
         return RunningAttempt(
@@ -245,7 +245,7 @@
             return not connection.superseded and self.registry.add(attempt)
 
     def _compare(self, theirs: int, connection: EntryConnection) -> None:
-        if self.holder.should_ask(theirs, self.clock.now_ms()):
+        if self.holder.should_request(theirs, self.clock.now_ms()):
             connection.wire.send(BundleWanted(self.holder.generation()))
 
 
--- a/packages/load/src/mimosaspur_load/plannercost.py
+++ b/packages/load/src/mimosaspur_load/plannercost.py
@@ -64,7 +64,7 @@
             alive=self.alive,
             now_ms=self.now_ms,
             demand={name: DemandSum(REQUESTS, 0) for name in self.index.models},
-            at_once=self.at_once,
+            max_concurrent_loads=self.at_once,
         )
         started = time.perf_counter()
         changes = plan(view, Unlimited())
--- a/packages/transport/src/mimosaspur_transport/targetlink.py
+++ b/packages/transport/src/mimosaspur_transport/targetlink.py
@@ -300,16 +300,16 @@
 
     @_handle.register
     def _(self, message: BundleWanted, wire: Wire) -> None:
-        packed = self.holder.pack()
+        packed = self.holder.encode_current()
         if packed and packed[0] > message.have:
             wire.send(BundleOffer(*packed))
 
     @_handle.register
     def _(self, message: BundleOffer, wire: Wire) -> None:
-        self.holder.unpack(message.generation, message.packed)
+        self.holder.apply_encoded(message.generation, message.packed)
 
     def _compare(self, wire: Wire, theirs: int) -> None:
-        if self.holder.should_ask(theirs, self.clock.now_ms()):
+        if self.holder.should_request(theirs, self.clock.now_ms()):
             wire.send(BundleWanted(self.holder.generation()))
 
 
