--- a/features/harness/direct_engine.py
+++ b/features/harness/direct_engine.py
@@ -22,11 +22,11 @@
 
 
 @dataclass(slots=True)
-class OrderedEngine:
+class SimulatedEngine:
     """Hold models and adapters; reports lag, and orders may go unanswered and come late."""
 
-    model_places: int = 3
-    adapter_places: int = 4
+    model_slots: int = 3
+    adapter_slots: int = 4
     residents: dict[str, set[str]] = field(default_factory=dict)
     # Orders by their number from 1 that get no answer; they take effect after late_s, if ever.
     unanswered: frozenset[int] = frozenset()
@@ -34,16 +34,16 @@
     # An unload waits for the model's runs.
     runs_s: float = 0.0
     # Orders by their number at which the engine counts one more that the desk doesn't know of.
-    uncounted: frozenset[int] = frozenset()
+    extra_counts: frozenset[int] = frozenset()
     # Orders of another holder that are carried out just before the desk's order of that number.
-    foreign: dict[int, EngineOrder] = field(default_factory=dict)
+    foreign_orders: dict[int, EngineOrder] = field(default_factory=dict)
     started_ms: int = 0
     sequence: int = 0
     busy: bool = False
-    orders: int = 0
+    order_count: int = 0
     accepted: list[EngineOrder] = field(default_factory=list)
-    given: list[EngineOrder] = field(default_factory=list)
-    most_adapters: int = 0
+    received: list[EngineOrder] = field(default_factory=list)
+    max_adapters: int = 0
     overcommitted: bool = False
     # What held from a time on, on the event loop's clock.
     history: list[tuple[float, EngineReport]] = field(default_factory=list)
@@ -51,7 +51,7 @@
     async def report(self, target: TargetRecord) -> EngineReport | None:
         """Return what held some time ago."""
         await asyncio.sleep(0)
-        self._note()
+        self._record_state()
         known_s = asyncio.get_running_loop().time() - REPORT_LAG_S
         while len(self.history) > 1 and self.history[1][0] <= known_s:
             self.history.pop(0)
@@ -59,18 +59,18 @@
 
     async def order(self, target: TargetRecord, order: EngineOrder) -> OrderOutcome:
         """Obey, or leave the order unanswered."""
-        self.orders += 1
-        self.given.append(order)
-        if self.orders in self.foreign:
-            self._obey(self.foreign[self.orders])
-        if self.orders in self.uncounted:
+        self.order_count += 1
+        self.received.append(order)
+        if self.order_count in self.foreign_orders:
+            self._execute(self.foreign_orders[self.order_count])
+        if self.order_count in self.extra_counts:
             self.sequence += 1
-        if self.orders in self.unanswered:
-            asyncio.get_running_loop().call_later(self.late_s, self._obey, order)
+        if self.order_count in self.unanswered:
+            asyncio.get_running_loop().call_later(self.late_s, self._execute, order)
             await asyncio.sleep(0.02)
             return OrderOutcome.UNKNOWN
         await asyncio.sleep(0.001)
-        return self._obey(order)
+        return self._execute(order)
 
     async def stop_and_copy(
         self, source: TargetRecord, request: bytes, to: TargetRecord
@@ -81,11 +81,11 @@
     async def drop_copy(self, source: TargetRecord, handle: str) -> None:
         """Have no copies."""
 
-    def _note(self) -> None:
+    def _record_state(self) -> None:
         """Remember what holds from now on."""
-        self.history.append((asyncio.get_running_loop().time(), self._now()))
+        self.history.append((asyncio.get_running_loop().time(), self._current_report()))
 
-    def _now(self) -> EngineReport:
+    def _current_report(self) -> EngineReport:
         return EngineReport(
             residents={model: frozenset(names) for model, names in self.residents.items()},
             coming_adapters=frozenset(),
@@ -103,9 +103,9 @@
         self.residents = {}
         self.sequence = 0
         self.busy = False
-        self._note()
+        self._record_state()
 
-    def _obey(self, order: EngineOrder) -> OrderOutcome:
+    def _execute(self, order: EngineOrder) -> OrderOutcome:
         if order.expected_sequence != self.sequence or self.busy:
             return OrderOutcome.CONFLICT
         if self._holds(order):
@@ -113,10 +113,10 @@
         self.sequence += 1
         self.accepted.append(order)
         if order.adapter:
-            self._obey_adapter(order)
+            self._execute_adapter_order(order)
         else:
-            self._obey_model(order)
-        self._note()
+            self._execute_model_order(order)
+        self._record_state()
         return OrderOutcome.ACCEPTED
 
     def _holds(self, order: EngineOrder) -> bool:
@@ -125,37 +125,37 @@
             there = order.adapter in self.residents.get(order.model, ())
         return there == (order.kind is OrderKind.LOAD)
 
-    def _obey_adapter(self, order: EngineOrder) -> None:
+    def _execute_adapter_order(self, order: EngineOrder) -> None:
         adapters = self.residents.get(order.model, set())
         if order.kind is OrderKind.LOAD:
             adapters.add(order.adapter)
         else:
             adapters.discard(order.adapter)
         held = sum(len(names) for names in self.residents.values())
-        self.most_adapters = max(self.most_adapters, held)
-        self.overcommitted |= held > self.adapter_places
+        self.max_adapters = max(self.max_adapters, held)
+        self.overcommitted |= held > self.adapter_slots
 
-    def _obey_model(self, order: EngineOrder) -> None:
+    def _execute_model_order(self, order: EngineOrder) -> None:
         self.busy = True
         loop = asyncio.get_running_loop()
         if order.kind is OrderKind.UNLOAD:
             loop.call_later(UNLOAD_S + self.runs_s, self._unloaded, order.model)
             return
-        self.overcommitted |= len(self.residents) + 1 > self.model_places
+        self.overcommitted |= len(self.residents) + 1 > self.model_slots
         loop.call_later(LOAD_S, self._loaded, order.model)
 
     def _unloaded(self, model: str) -> None:
         self.residents.pop(model, None)
         self.busy = False
-        self._note()
+        self._record_state()
 
     def _loaded(self, model: str) -> None:
         self.residents[model] = set()
         self.busy = False
-        self._note()
+        self._record_state()
 
 
-def any_unanswered(seed: int, most: int) -> frozenset[int]:
+def random_unanswered(seed: int, most: int) -> frozenset[int]:
     """Return a third of the first orders, chosen by a seed."""
     chooser = random.Random(seed)
     return frozenset(number for number in range(1, most) if chooser.random() < 1 / 3)
--- a/features/harness/direct_fleet.py
+++ b/features/harness/direct_fleet.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from harness.direct_engine import LOAD_S
-from harness.direct_engine import OrderedEngine
+from harness.direct_engine import SimulatedEngine
 from harness.direct_entry import UnavailableStore
 from harness.direct_entry import configuration
 from harness.direct_entry import engine_spec
@@ -13,7 +13,7 @@
 from harness.direct_entry import model_spec
 from harness.direct_entry import settings_for
 from mimosaspur_coordination.fleetports import LeaseRecord
-from mimosaspur_daemon.direct.duty import Duty
+from mimosaspur_daemon.direct.election import CoordinatorElection
 from mimosaspur_daemon.direct.entrystate import EntryState
 from mimosaspur_state.errors import StoreUnavailable
 from mimosaspur_state.errors import VersionConflict
@@ -23,13 +23,13 @@
 
 HANDOVER_MS = 600
 MODELS = ("a", "b", "c", "d", "e", "f")
-WAIT_S = 12.0
-WANT_EVERY_S = 0.05
+WAIT_TIMEOUT_S = 12.0
+REQUEST_INTERVAL_S = 0.05
 # The last word to the others is out, and the holder has noticed that it stepped down.
-LAST_WORD_S = 0.25
+STEP_DOWN_S = 0.25
 
 
-class HeldClock:
+class ManualClock:
     """Tell the time that a test has set."""
 
     def __init__(self, ms: int) -> None:
@@ -68,16 +68,16 @@
         return self.record
 
 
-class WatchedEngine(OrderedEngine):
+class RecordingEngine(SimulatedEngine):
     """Note who orders, and when."""
 
     def __init__(self, orders: list[tuple[str, float]]) -> None:
         super().__init__(residents={name: set() for name in "abc"})
-        self.noted = orders
+        self.order_log = orders
 
     async def order(self, target: TargetRecord, order: EngineOrder) -> OrderOutcome:
         """Note the order and obey."""
-        self.noted.append((order.holder, time.monotonic() * 1000))
+        self.order_log.append((order.holder, time.monotonic() * 1000))
         return await super().order(target, order)
 
 
@@ -86,12 +86,12 @@
 
     def __init__(self) -> None:
         self.handover_ms = HANDOVER_MS
-        self.ordered_before = 0
+        self.orders_before_restart = 0
         self.orders: list[tuple[str, float]] = []
         self.store = LeaseStore()
-        self.engine = WatchedEngine(self.orders)
+        self.engine = RecordingEngine(self.orders)
         self.states: list[EntryState] = []
-        self.duties: list[Duty] = []
+        self.elections: list[CoordinatorElection] = []
         self.servers: list[asyncio.Server] = []
         self.tasks: list[asyncio.Task[None]] = []
 
@@ -105,20 +105,20 @@
     async def hand_over(self) -> None:
         """Tell the first to leave, and wait for orders of the second."""
         self.states[0].leaving = True
-        self.duties[0].step_down()
+        self.elections[0].step_down()
         await self._until(lambda: self.orders[-1][0] == "entry-1")
 
     async def restart_first(self, pause_s: float) -> None:
         """End the first instance's process and start it again; wait for its orders."""
-        self.duties[0].step_down()
-        await asyncio.sleep(LAST_WORD_S)
+        self.elections[0].step_down()
+        await asyncio.sleep(STEP_DOWN_S)
         for task in self.tasks[:2]:
             task.cancel()
         self.servers[0].close()
-        self.ordered_before = len(self.orders)
+        self.orders_before_restart = len(self.orders)
         await asyncio.sleep(pause_s)
         await self._start_one("entry-0")
-        await self._until(lambda: len(self.orders) > self.ordered_before)
+        await self._until(lambda: len(self.orders) > self.orders_before_restart)
 
     async def orders_within(self, seconds: float) -> list[str]:
         """Return who gives orders in the time to come."""
@@ -126,7 +126,7 @@
         await asyncio.sleep(seconds)
         return [holder for holder, _ in self.orders[before:]]
 
-    def lose_second(self) -> None:
+    def kill_second(self) -> None:
         """End the second instance without a word."""
         for task in self.tasks[2:]:
             task.cancel()
@@ -146,22 +146,22 @@
         models = [model_spec(name, **loads) for name in MODELS]
         state.configuration = configuration(engine_spec(models, loads_per_s=0.0))
         state.fleet.update([TargetRecord("engine-0", "service", ("127.0.0.1", 1), "here")], [])
-        duty = Duty(state)
+        duty = CoordinatorElection(state)
         server = await duty.listen()
         duty.address = ("127.0.0.1", server.sockets[0].getsockname()[1])
         self.states.append(state)
-        self.duties.append(duty)
+        self.elections.append(duty)
         self.servers.append(server)
         self.tasks.append(asyncio.create_task(duty.run()))
-        self.tasks.append(asyncio.create_task(self._want(state)))
+        self.tasks.append(asyncio.create_task(self._request_models(state)))
 
-    async def _want(self, state: EntryState) -> None:
+    async def _request_models(self, state: EntryState) -> None:
         while True:
             missing = [name for name in MODELS if name not in self.engine.residents]
             with state.waiting_for(missing[0], ""):
-                await asyncio.sleep(WANT_EVERY_S)
+                await asyncio.sleep(REQUEST_INTERVAL_S)
 
     async def _until(self, condition: Callable[[], bool]) -> None:
-        async with asyncio.timeout(WAIT_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not condition():
                 await asyncio.sleep(0.02)
--- a/features/harness/direct_registrations.py
+++ b/features/harness/direct_registrations.py
@@ -15,7 +15,7 @@
 
 SERVERS = "servers"
 STARTED_MS = 1_000
-READY_WITHIN_S = 2.0
+READY_TIMEOUT_S = 2.0
 
 
 def server_entry(state: str = "ready") -> dict[str, Any]:
@@ -78,7 +78,7 @@
             asyncio.create_task(watch.follow_targets()),
             asyncio.create_task(watch.follow_configuration()),
         ]
-        async with asyncio.timeout(READY_WITHIN_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while not self.state.ready():
                 await asyncio.sleep(0.01)
 
--- a/features/harness/direct_site.py
+++ b/features/harness/direct_site.py
@@ -11,7 +11,7 @@
 from harness.direct_entry import settings_for
 from harness.direct_registrations import store_with_servers
 from harness.direct_store import StoreStandIn
-from mimosaspur_daemon.direct.duty import Duty
+from mimosaspur_daemon.direct.election import CoordinatorElection
 from mimosaspur_daemon.direct.entrystate import EntryState
 from mimosaspur_daemon.direct.storewatch import StoreWatch
 from mimosaspur_platform.store import PlatformStore
@@ -19,8 +19,8 @@
 from mimosaspur_state.directsettings import RetryBounds
 from mimosaspur_state.errors import StoreUnavailable
 
-SETTLED_WITHIN_S = 8.0
-NO_ANSWER_S = 2.5
+SETTLE_TIMEOUT_S = 8.0
+CALL_TIMEOUT_S = 2.5
 
 
 class CutStore:
@@ -35,9 +35,9 @@
 
         async def maybe(*arguments: Any, **options: Any) -> Any:
             if not self.cut:
-                with contextlib.suppress(_Cut):
+                with contextlib.suppress(_CutError):
                     return await self._until_cut(call(*arguments, **options))
-            await asyncio.sleep(NO_ANSWER_S)
+            await asyncio.sleep(CALL_TIMEOUT_S)
             raise StoreUnavailable("cut")
 
         return maybe
@@ -45,15 +45,15 @@
     async def _until_cut(self, call: Any) -> Any:
         answer = await call
         if self.cut:
-            raise _Cut
+            raise _CutError
         return answer
 
 
-class _Cut(Exception):
+class _CutError(Exception):
     pass
 
 
-class _CutDuty(Duty):
+class _CutElection(CoordinatorElection):
     """Follow and accept other entries, unless the ways to them are cut."""
 
     cut = False
@@ -61,11 +61,11 @@
     async def _follow(self, address: tuple[str, int]) -> bool:
         return False if self.cut else await super()._follow(address)
 
-    async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_link(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.cut:
             writer.transport.abort()
         else:
-            await super()._accepted(reader, writer)
+            await super()._serve_link(reader, writer)
 
 
 class SiteEntry:
@@ -82,16 +82,16 @@
         if retries:
             settings = replace(settings, retries=retries)
         self.state = EntryState(settings, ports)
-        self.duty = _CutDuty(self.state)
+        self.election = _CutElection(self.state)
         self.tasks: list[asyncio.Task[None]] = []
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
         """Begin to follow the store and the coordinator."""
-        self.server = await self.duty.listen()
-        self.duty.address = ("127.0.0.1", self.server.sockets[0].getsockname()[1])
+        self.server = await self.election.listen()
+        self.election.address = ("127.0.0.1", self.server.sockets[0].getsockname()[1])
         watch = StoreWatch(self.state)
-        work = (watch.follow_targets(), watch.follow_configuration(), self.duty.run())
+        work = (watch.follow_targets(), watch.follow_configuration(), self.election.run())
         self.tasks = [asyncio.create_task(each) for each in work]
 
     def kill(self) -> None:
@@ -101,7 +101,7 @@
         if self.server:
             self.server.close()
 
-    def knows(self, *, leaving: str = "", version: int = 0) -> bool:
+    def has_applied(self, *, leaving: str = "", version: int = 0) -> bool:
         """Tell whether it knows that a target leaves, and a version of the configuration."""
         view = self.state.fleet.targets.get(leaving)
         current = self.state.configuration.version if self.state.configuration else 0
@@ -132,21 +132,21 @@
             lambda: all(each.state.freshness.coordinator_is_fresh() for each in followers)
         )
 
-    async def until(self, condition: Any, within_s: float = SETTLED_WITHIN_S) -> None:
+    async def until(self, condition: Any, within_s: float = SETTLE_TIMEOUT_S) -> None:
         """Wait for a condition; raise TimeoutError."""
         async with asyncio.timeout(within_s):
             while not condition():
                 await asyncio.sleep(0.02)
 
-    def strike(self, fault: str) -> None:
+    def inject_fault(self, fault: str) -> None:
         """Let the coordinator fail."""
         first = self.entries[0]
         if fault.endswith("gets no answers from the store"):
             first.store.cut = True
         elif fault.endswith("falls silent"):
-            coordinator = first.duty.coordinator
+            coordinator = first.election.coordinator
             assert coordinator
-            coordinator.members.tell = lambda *_: None  # type: ignore[method-assign]
+            coordinator.members.send_updates = lambda *_: None  # type: ignore[method-assign]
         else:
             first.kill()
 
@@ -160,8 +160,8 @@
         """Cut entries off from the store and from all other entries."""
         for number in numbers:
             entry = self.entries[number]
-            entry.store.cut = entry.duty.cut = True
-            for coordinator in (each.duty.coordinator for each in self.entries):
+            entry.store.cut = entry.election.cut = True
+            for coordinator in (each.election.coordinator for each in self.entries):
                 if coordinator is None:
                     continue
                 for name, member in coordinator.members.members.items():
--- a/features/harness/direct_store.py
+++ b/features/harness/direct_store.py
@@ -11,7 +11,7 @@
 import h11
 import msgspec
 
-PAGE = 2
+PAGE_SIZE = 2
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,7 +32,7 @@
     revision: int = 1
     silent: bool = False
     status: int = 0
-    forgotten: int = 0
+    compacted_revision: int = 0
     calls: int = 0
     changed: asyncio.Event = field(default_factory=asyncio.Event)
     server: asyncio.Server | None = None
@@ -63,24 +63,24 @@
         metadata = {"name": name, "revision": self.revision, "finalizers": [], "deleting": False}
         stored = {"metadata": metadata, "specification": specification, "status": None}
         self.objects.setdefault(kind, {})[name] = stored
-        self._note(kind, stored, deleted=False)
+        self._record_change(kind, stored, deleted=False)
         return stored
 
     def delete(self, kind: str, name: str) -> None:
         """Remove an object."""
         self.revision += 1
-        self._note(kind, self.objects[kind].pop(name), deleted=True)
+        self._record_change(kind, self.objects[kind].pop(name), deleted=True)
 
-    def lapse(self, kind: str, name: str) -> dict[str, Any]:
+    def expire(self, kind: str, name: str) -> dict[str, Any]:
         """Remove an object without a trace, as while the store is away."""
         return self.objects[kind].pop(name)
 
-    def forget(self) -> None:
+    def compact_history(self) -> None:
         """Drop the history."""
         self.history.clear()
-        self.forgotten = self.revision
+        self.compacted_revision = self.revision
 
-    def _note(self, kind: str, stored: dict[str, Any], *, deleted: bool) -> None:
+    def _record_change(self, kind: str, stored: dict[str, Any], *, deleted: bool) -> None:
         self.history.append((self.revision, kind, stored, deleted))
         self.changed.set()
         self.changed = asyncio.Event()
@@ -88,7 +88,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         codec = h11.Connection(h11.SERVER)
         try:
-            while (call := await _call(codec, reader)) is not None:
+            while (call := await _read_call(codec, reader)) is not None:
                 self.calls += 1
                 if self.silent:
                     await asyncio.sleep(60)
@@ -133,14 +133,14 @@
 
     def _list(self, kind: str, after: str) -> dict[str, Any]:
         names = sorted(name for name in self.objects.get(kind, {}) if name > after)
-        items = [self.objects[kind][name] for name in names[:PAGE]]
-        return {"items": items, "has_more": len(names) > PAGE, "at": self.revision}
+        items = [self.objects[kind][name] for name in names[:PAGE_SIZE]]
+        return {"items": items, "has_more": len(names) > PAGE_SIZE, "at": self.revision}
 
     async def _watch(self, kind: str, since: int, wait_ms: int) -> tuple[int, object]:
         loop = asyncio.get_running_loop()
         end_s = loop.time() + wait_ms / 1000
         while True:
-            if since < self.forgotten or since > self.revision:
+            if since < self.compacted_revision or since > self.revision:
                 return 410, None
             events = [
                 {"object": stored, "deleted": deleted}
@@ -156,7 +156,7 @@
                 continue
 
 
-async def _call(
+async def _read_call(
     codec: h11.Connection, reader: asyncio.StreamReader
 ) -> tuple[str, str, bytes] | None:
     head: h11.Request | None = None
--- a/features/harness/failing_store.py
+++ b/features/harness/failing_store.py
@@ -14,7 +14,7 @@
 
 ANSWER_S = 0.004
 # As long as the port waits for a call, and beyond a watch's own wait.
-GIVEN_UP_S = 1.0
+CALL_TIMEOUT_S = 1.0
 WATCH_SLACK_S = 0.5
 UNREACHABLE = ("127.0.0.1", 9)
 
@@ -101,7 +101,7 @@
     async def _call(self, kind: str) -> None:
         self.calls += 1
         if self._fails(kind) and self.failing != "writes of the lease":
-            await self._fail(GIVEN_UP_S)
+            await self._fail(CALL_TIMEOUT_S)
         await asyncio.sleep(ANSWER_S)
 
     def _fails(self, kind: str) -> bool:
--- a/features/harness/report_simulation.py
+++ b/features/harness/report_simulation.py
@@ -22,7 +22,7 @@
 
 TOKENS_PER_REQUEST = 100
 RANK = 3
-ENCODER = "mimosaspur_daemon.direct.fleetteller.encode_peer"
+ENCODER = "mimosaspur_daemon.direct.fleetchanges.encode_peer"
 
 
 class ReportSimulation:
@@ -108,13 +108,13 @@
         """Let the first entry report work at so many targets, and tell all of it."""
         work = [WorkAt(f"t{n}", 1, {}, 1, {}) for n in range(work_at)]
         report = EntryReport("entry-0", 1, work, [], [], [])
-        self.members.hear(report, self.members.members["entry-0"])
+        self.members.apply_report(report, self.members.members["entry-0"])
         for link in self.links.values():
             link.frames = 0
         # As after the pause that the last news needed.
         self.members.work_due_ms = 0
         with mock.patch(ENCODER, side_effect=encode_peer) as counted:
-            self.members.tell([], self.lease)
+            self.members.send_updates([], self.lease)
         self.encoded = counted.call_count
 
     def frame_counts(self) -> dict[str, int]:
--- a/features/harness/share_simulation.py
+++ b/features/harness/share_simulation.py
@@ -4,7 +4,7 @@
 from dataclasses import field
 from enum import Enum
 
-from harness.direct_fleet import HeldClock
+from harness.direct_fleet import ManualClock
 from mimosaspur_coordination.limits.retrywindow import USED_SHARE
 from mimosaspur_coordination.limits.retrywindow import RetryWindow
 from mimosaspur_coordination.limits.sharelease import ShareLease
@@ -56,7 +56,7 @@
     """Own entries, coordinators' terms and the time."""
 
     def __init__(self, entries: int, slack: float) -> None:
-        self.clock = HeldClock(0)
+        self.clock = ManualClock(0)
         self.bounds = RetryBounds(ratio=0.0, window_ms=WINDOW_MS, slack=slack / USED_SHARE)
         self.entries = [self._entry() for _ in range(entries)]
         self.terms: list[_Term] = []
--- a/features/steps/direct_adapters_steps.py
+++ b/features/steps/direct_adapters_steps.py
@@ -11,7 +11,7 @@
 from behave import when
 from behave.runner import Context
 
-from harness.direct_engine import OrderedEngine
+from harness.direct_engine import SimulatedEngine
 from harness.direct_entry import engine_spec
 from harness.direct_entry import model_spec
 from harness.direct_entry import null_log
@@ -22,8 +22,8 @@
 from mimosaspur_coordination.fleetports import LeaseRecord
 from mimosaspur_coordination.modeldemand import ModelDemand
 from mimosaspur_coordination.orderlease import OrderLease
-from mimosaspur_daemon.direct.adapterkeeper import AdapterKeeper
-from mimosaspur_daemon.direct.enginedesk import EngineDesk
+from mimosaspur_daemon.direct.adapterscheduler import AdapterScheduler
+from mimosaspur_daemon.direct.enginecontroller import EngineController
 from mimosaspur_state.clock import SystemClock
 from mimosaspur_state.fleet import TargetRecord
 
@@ -100,26 +100,26 @@
     def __init__(self) -> None:
         self.clock = SystemClock()
         residents: dict[str, set[str]] = {"a": set(), "b": set()}
-        self.engine = OrderedEngine(residents=residents, adapter_places=ENGINE_SLOTS)
+        self.engine = SimulatedEngine(residents=residents, adapter_slots=ENGINE_SLOTS)
         lease = OrderLease("me", handover_ms=0, clock=self.clock)
         lease.acquire(
             LeaseRecord("me", ("127.0.0.1", 1), 1, 1), asked_ms=self.clock.now_ms(), predecessor=""
         )
-        self.desk = EngineDesk(
+        self.desk = EngineController(
             TargetRecord("x", "service", ("127.0.0.1", 1), "here"),
             port=self.engine,
             lease=lease,
             clock=self.clock,
             log=null_log("me"),
-            changed=lambda: None,
+            on_change=lambda: None,
         )
         self.tasks: list[asyncio.Task[None]] = []
-        self.keeper = AdapterKeeper(
+        self.keeper = AdapterScheduler(
             demand=AdapterDemand(clock=self.clock),
-            models=ModelDemand(clock=self.clock),
+            model_demand=ModelDemand(clock=self.clock),
             log=null_log("me"),
             spawn=self._spawn,
-            changed=lambda: None,
+            on_change=lambda: None,
         )
 
     def _spawn(self, work: Generator[Any, None, None] | Coroutine[Any, Any, None]) -> None:
@@ -128,7 +128,7 @@
     def place(self, *waiting: tuple[str, str]) -> None:
         """Let the keeper begin what the engine can take now."""
         self.keeper.place_waiting(SPEC, [self.desk], waiting)
-        self.keeper.place_ahead(SPEC, [self.desk])
+        self.keeper.preload(SPEC, [self.desk])
 
     def held(self) -> set[str]:
         """Return the adapters that the engine holds."""
@@ -149,7 +149,7 @@
     world.keeper.demand.count("b", "a1", 1)
 
     async def turns() -> None:
-        await world.desk.look()
+        await world.desk.refresh()
         for _ in range(round(TIMEOUT_S / POLL_INTERVAL_S)):
             world.place()
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -165,7 +165,7 @@
     world: _KeeperWorld = context.world
     assert {"a/a2", "b/a1"} <= world.held(), world.held()
     assert len(world.held()) == ENGINE_SLOTS, world.held()
-    assert not world.engine.overcommitted, world.engine.most_adapters
+    assert not world.engine.overcommitted, world.engine.max_adapters
 
 
 @when("an adapter is being placed")
@@ -173,7 +173,7 @@
     world: _KeeperWorld = context.world
 
     async def place() -> None:
-        await world.desk.look()
+        await world.desk.refresh()
         context.before_ms = world.desk.free_in_ms()
         world.place(("a", "a1"))
         context.meanwhile_ms = world.desk.free_in_ms()
@@ -201,7 +201,7 @@
     world: _KeeperWorld = context.world
 
     async def turns() -> None:
-        await world.desk.look()
+        await world.desk.refresh()
         world.place(("a", "a1"))
         await asyncio.gather(*world.tasks)
         world.keeper.demand.count("a", "a2", 4)
--- a/features/steps/direct_bounds_steps.py
+++ b/features/steps/direct_bounds_steps.py
@@ -12,7 +12,7 @@
 from hypothesis import settings
 from hypothesis import strategies
 
-from harness.direct_fleet import HeldClock
+from harness.direct_fleet import ManualClock
 from harness.share_leases import held_share
 from mimosaspur_coordination.fleetview import TargetView
 from mimosaspur_coordination.limits.retrywindow import RetryWindow
@@ -34,7 +34,7 @@
     "a retry bound of {ratio:g} of the requests and {slack:d} more, shared by {entries:d} entries"
 )
 def make_window(context: Context, ratio: float, slack: int, entries: int) -> None:
-    context.clock = HeldClock(0)
+    context.clock = ManualClock(0)
     bounds = RetryBounds(ratio=ratio, window_ms=WINDOW_MS, slack=slack)
     lease = held_share(WINDOW_MS, sharers=entries, clock=context.clock)
     context.window = RetryWindow(bounds, lease=lease, clock=context.clock)
@@ -66,7 +66,7 @@
 
 @given("{count:d} targets of which {failing:d} fail all requests")
 def make_targets(context: Context, count: int, failing: int) -> None:
-    context.clock = HeldClock(1_000)
+    context.clock = ManualClock(1_000)
     context.views = []
     for number in range(count):
         health = TargetHealth(clock=context.clock)
@@ -125,7 +125,7 @@
     reading, writing = os.pipe()
     context.add_cleanup(os.close, reading)
     context.add_cleanup(os.close, writing)
-    context.log = EventLog("entry-0", clock=HeldClock(500), fd=writing)
+    context.log = EventLog("entry-0", clock=ManualClock(500), fd=writing)
 
 
 @when("{count:d} events are written within a second")
--- a/features/steps/direct_configuration_steps.py
+++ b/features/steps/direct_configuration_steps.py
@@ -96,7 +96,7 @@
     cut_and_revoke(context, "one follower is")
 
     async def lose() -> None:
-        coordinator = context.site.entries[0].duty.coordinator
+        coordinator = context.site.entries[0].election.coordinator
         follower = context.site.entries[1].state.settings.instance
         coordinator.members.members[follower].link.close()
 
@@ -208,7 +208,7 @@
         newest = 0
         for version, sound in messages:
             told = encode_configuration(with_workspaces(KEYS, version=version))
-            exchange.take(told if sound else _spoil(told, broken), _Link())
+            exchange.on_message(told if sound else _spoil(told, broken), _Link())
             newest = max(newest, version if sound else 0)
             assert state.version() == newest, messages
 
@@ -223,7 +223,7 @@
 
     async def hear() -> None:
         for _ in range(count):
-            exchange.heard(5, context.link)
+            exchange.on_version(5, context.link)
             await asyncio.sleep(1.0 / count)
 
     run(context, hear())
--- a/features/steps/direct_leadership_steps.py
+++ b/features/steps/direct_leadership_steps.py
@@ -20,7 +20,7 @@
 from mimosaspur_coordination.coordinatorcapacity import update_pause_s
 from mimosaspur_coordination.fleetports import LeaseRecord
 from mimosaspur_daemon.direct.coordinator import Coordinator
-from mimosaspur_daemon.direct.duty import Duty
+from mimosaspur_daemon.direct.election import CoordinatorElection
 from mimosaspur_daemon.direct.entrystate import EntryState
 from mimosaspur_daemon.direct.members import Member
 from mimosaspur_protocol.peermessages import PeerMessage
@@ -66,7 +66,7 @@
         state = EntryState(
             settings, entry_dependencies(settings.instance, clock=clock, store=store)
         )
-        duty = Duty(state)
+        duty = CoordinatorElection(state)
         duty.lease.clock = clock
         tasks.append(asyncio.create_task(duty.run()))
     began_s = loop.time()
@@ -118,10 +118,10 @@
     clock = VirtualClock(context.loop)
     ports = entry_dependencies("coordinator", clock=clock, store=OneAnswerStore(answers))
     state = EntryState(settings_for("coordinator"), ports)
-    duty = context.duty = Duty(state)
+    duty = context.duty = CoordinatorElection(state)
     duty.lease.clock = clock
     duty.lease.acquire(HELD, asked_ms=clock.now_ms(), predecessor="")
-    duty.coordinator = Coordinator(state, duty.lease, duty.configurations)
+    duty.coordinator = Coordinator(state, duty.lease, duty.configuration_exchange)
     context.links = [AskedLink() for _ in range(count)]
     for number, link in enumerate(context.links):
         member = Member(link=link)
@@ -156,7 +156,7 @@
 @when("{seconds:d} s pass in which an entry that was lost leaves the proof incomplete")
 def hold(context: Context, seconds: int) -> None:
     async def play() -> None:
-        context.duty.coordinator.required = {"lost"}
+        context.duty.coordinator.required_proofs = {"lost"}
         holding = asyncio.create_task(context.duty._hold_lease([]))
         await asyncio.sleep(seconds)
         assert not holding.done(), "the lease was given up though nobody else has it"
--- a/features/steps/direct_orders_steps.py
+++ b/features/steps/direct_orders_steps.py
@@ -9,17 +9,17 @@
 from behave.runner import Context
 
 from harness.direct_engine import REPORT_LAG_S
-from harness.direct_engine import OrderedEngine
-from harness.direct_engine import any_unanswered
+from harness.direct_engine import SimulatedEngine
+from harness.direct_engine import random_unanswered
 from harness.direct_entry import null_log
-from harness.direct_fleet import HeldClock
+from harness.direct_fleet import ManualClock
 from harness.direct_fleet import TwoInstances
 from harness.direct_store import StoreStandIn
 from harness.loop import run
 from mimosaspur_coordination.fleetports import LeaseRecord
 from mimosaspur_coordination.orderlease import CONFIRMATION_VALIDITY_MS
 from mimosaspur_coordination.orderlease import OrderLease
-from mimosaspur_daemon.direct.enginedesk import EngineDesk
+from mimosaspur_daemon.direct.enginecontroller import EngineController
 from mimosaspur_platform.engines import PlatformEngines
 from mimosaspur_state.clock import SystemClock
 from mimosaspur_state.fleet import EngineOrder
@@ -42,9 +42,9 @@
     "by seed {seed:d}"
 )
 def start_random_engine(context: Context, seed: int) -> None:
-    context.engine = OrderedEngine(
+    context.engine = SimulatedEngine(
         residents={name: set() for name in "abc"},
-        unanswered=any_unanswered(seed, MANY_ORDERS),
+        unanswered=random_unanswered(seed, MANY_ORDERS),
         late_s=0.3,
     )
 
@@ -54,7 +54,7 @@
     late_ms = int("".join(filter(str.isdigit, late)) or 0)
     if late == "never carried out":
         late_ms = NEVER_MS
-    context.engine = OrderedEngine(
+    context.engine = SimulatedEngine(
         residents={name: set() for name in _names(held)},
         unanswered=frozenset(int(number) for number in numbers.split(",")),
         late_s=late_ms / 1000,
@@ -65,35 +65,39 @@
     return set(text.replace(" and ", ", ").split(", ")) - {"nothing"}
 
 
-async def _desk(engine: OrderedEngine) -> EngineDesk:
-    lease = OrderLease("me", handover_ms=0, clock=HeldClock(1_000))
+async def _desk(engine: SimulatedEngine) -> EngineController:
+    lease = OrderLease("me", handover_ms=0, clock=ManualClock(1_000))
     record = LeaseRecord("me", ADDRESS, 1, 1)
     lease.acquire(record, asked_ms=1_000, predecessor="")
     clock = SystemClock()
     log = null_log("me")
-    desk = EngineDesk(RECORD, port=engine, lease=lease, clock=clock, log=log, changed=lambda: None)
-    await desk.look()
+    desk = EngineController(
+        RECORD, port=engine, lease=lease, clock=clock, log=log, on_change=lambda: None
+    )
+    await desk.refresh()
     return desk
 
 
 @given("at order {number:d} it counts one more order than the desk knows")
 def count_unknown_order(context: Context, number: int) -> None:
-    context.engine.uncounted = frozenset((number,))
+    context.engine.extra_counts = frozenset((number,))
 
 
 @given("at order {number:d} an earlier holder's load of x is carried out first")
 def carry_out_foreign_load(context: Context, number: int) -> None:
-    context.engine.foreign = {number: EngineOrder(OrderKind.LOAD, "x", "", number - 1, "other", 1)}
+    context.engine.foreign_orders = {
+        number: EngineOrder(OrderKind.LOAD, "x", "", number - 1, "other", 1)
+    }
 
 
 @given("its adapter places are full but for one")
 def fill_adapters(context: Context) -> None:
-    context.engine.residents["a"] = set(ADAPTERS[: context.engine.adapter_places - 1])
+    context.engine.residents["a"] = set(ADAPTERS[: context.engine.adapter_slots - 1])
 
 
 @given("its adapter places are full")
 def fill_all_adapters(context: Context) -> None:
-    context.engine.residents["a"] = set(ADAPTERS[: context.engine.adapter_places])
+    context.engine.residents["a"] = set(ADAPTERS[: context.engine.adapter_slots])
 
 
 @given("the desk has counted one order more than the engine")
@@ -109,9 +113,9 @@
 @when("adapter y is ordered in vain, and adapter z after it")
 def load_two_adapters(context: Context) -> None:
     async def load() -> None:
-        places = context.engine.adapter_places
-        assert not await context.desk.load_adapter("a", "y", places=places)
-        await context.desk.load_adapter("a", "z", places=places)
+        places = context.engine.adapter_slots
+        assert not await context.desk.load_adapter("a", "y", slots=places)
+        await context.desk.load_adapter("a", "z", slots=places)
         await asyncio.sleep(context.engine.late_s)
 
     run(context, load())
@@ -128,14 +132,14 @@
 @then("it keeps room for d, and after {ms:d} ms no more")
 def check_kept_free(context: Context, ms: int) -> None:
     desk = context.desk
-    assert desk.kept_free() == ("d",), desk.kept_free()
-    desk.clock = HeldClock(desk.clock.now_ms() + ms)
-    assert desk.kept_free() == ()
+    assert desk.reserved_models() == ("d",), desk.reserved_models()
+    desk.clock = ManualClock(desk.clock.now_ms() + ms)
+    assert desk.reserved_models() == ()
 
 
 @then("no adapter was ordered to be unloaded for two counts of orders")
 def check_unloads(context: Context) -> None:
-    unloads = [each for each in context.engine.given if each.kind is OrderKind.UNLOAD]
+    unloads = [each for each in context.engine.received if each.kind is OrderKind.UNLOAD]
     assert unloads
     counts = {each.expected_sequence for each in unloads}
     assert len(counts) == 1, unloads
@@ -143,7 +147,7 @@
 
 @given("at order 1 an earlier holder's load of adapter x is carried out first")
 def carry_out_foreign_adapter(context: Context) -> None:
-    context.engine.foreign = {1: EngineOrder(OrderKind.LOAD, "a", "x", 0, "other", 1)}
+    context.engine.foreign_orders = {1: EngineOrder(OrderKind.LOAD, "a", "x", 0, "other", 1)}
 
 
 @when("the desk is told once to swap {victims} for d")
@@ -160,7 +164,7 @@
 def load_adapter_once(context: Context) -> None:
     async def load() -> None:
         desk = await _desk(context.engine)
-        await desk.load_adapter("a", "y", places=context.engine.adapter_places)
+        await desk.load_adapter("a", "y", slots=context.engine.adapter_slots)
 
     run(context, load())
 
@@ -171,7 +175,7 @@
         context.desk = await _desk(context.engine)
         context.engine.restart()
         await asyncio.sleep(REPORT_LAG_S)
-        await context.desk.look()
+        await context.desk.refresh()
 
     run(context, restart())
 
@@ -181,7 +185,7 @@
     async def restart() -> None:
         context.desk = await _desk(context.engine)
         swapping = asyncio.create_task(context.desk.swap("d", ("a",), load_ms=LOAD_MS))
-        while not context.engine.orders:
+        while not context.engine.order_count:
             await asyncio.sleep(ASK_EVERY_S)
         context.engine.restart()
         assert not await swapping
@@ -192,10 +196,10 @@
 @then("the desk finds that nothing known holds, and gives its orders no more")
 def check_restart_noticed(context: Context) -> None:
     async def order() -> None:
-        given = context.engine.orders
+        given = context.engine.order_count
         assert context.desk.lost()
         assert not await context.desk.swap("d", (), load_ms=LOAD_MS)
-        assert context.engine.orders == given
+        assert context.engine.order_count == given
 
     run(context, order())
 
@@ -206,19 +210,19 @@
         earlier = await _desk(context.engine)
         assert not await earlier.swap("d", ("a",), load_ms=LOAD_MS)
         context.engine.restart()
-        context.clock = HeldClock(earlier.clock.now_ms())
+        context.clock = ManualClock(earlier.clock.now_ms())
         context.desk = await _desk(context.engine)
         context.desk.clock = context.clock
-        context.desk.inherit(earlier)
+        context.desk.inherit_pending(earlier)
 
     run(context, swap_and_restart())
 
 
 @then("the desk of the new lifetime keeps room for d, and after {ms:d} ms no more")
 def check_room_kept(context: Context, ms: int) -> None:
-    assert context.desk.kept_free() == ("d",)
+    assert context.desk.reserved_models() == ("d",)
     context.clock.ms += ms
-    assert context.desk.kept_free() == ()
+    assert context.desk.reserved_models() == ()
 
 
 @given("an engine of the platform that answers orders with {status:d}")
@@ -260,7 +264,7 @@
 @given("an engine with three models whose unload waits {runs_ms:d} ms for its runs")
 def start_busy_engine(context: Context, runs_ms: int) -> None:
     residents: dict[str, set[str]] = {name: set() for name in "abc"}
-    context.engine = OrderedEngine(residents=residents, runs_s=runs_ms / 1000)
+    context.engine = SimulatedEngine(residents=residents, runs_s=runs_ms / 1000)
 
 
 @when("the desk swaps a for d and is asked meanwhile when the engine is free")
@@ -288,7 +292,7 @@
 def swap_overdue(context: Context) -> None:
     async def swap_and_look() -> None:
         desk = await _desk(context.engine)
-        task = asyncio.create_task(desk.swap("d", ("a",), load_ms=50, foreseeable=False))
+        task = asyncio.create_task(desk.swap("d", ("a",), load_ms=50, predictable=False))
         while "d" not in context.engine.residents:
             context.expected_ms = desk.expected_in_ms()
             await asyncio.sleep(0.01)
@@ -312,7 +316,7 @@
         free_since_s = began_s
         while time.monotonic() - began_s < WATCHED_S:
             if desk.report_due():
-                await desk.look()
+                await desk.refresh()
             if desk.free_in_ms():
                 free_since_s = time.monotonic()
             await asyncio.sleep(ASK_EVERY_S)
@@ -330,7 +334,7 @@
 def want_adapters(context: Context) -> None:
     async def want() -> None:
         desk = await _desk(context.engine)
-        wanted = [desk.load_adapter("a", name, places=4) for name in ADAPTERS]
+        wanted = [desk.load_adapter("a", name, slots=4) for name in ADAPTERS]
         await asyncio.gather(*wanted)
         await asyncio.sleep(0.5)
 
@@ -346,13 +350,13 @@
 @then("the engine never held more than its adapter places")
 def check_adapters(context: Context) -> None:
     engine = context.engine
-    assert not engine.overcommitted, f"{engine.most_adapters} adapters"
-    assert engine.most_adapters > 0
+    assert not engine.overcommitted, f"{engine.max_adapters} adapters"
+    assert engine.max_adapters > 0
 
 
 @given("a lease with a handover of {handover_ms:d} ms that {predecessor} held")
 def make_lease(context: Context, handover_ms: int, predecessor: str) -> None:
-    context.clock = HeldClock(10_000)
+    context.clock = ManualClock(10_000)
     context.lease = OrderLease("me", handover_ms=handover_ms, clock=context.clock)
     names = {"nobody": "", "itself": "me", "another": "other"}
     context.predecessor = names[predecessor]
@@ -448,7 +452,7 @@
 @then("it orders again before its successor might have, and no other instance has ordered")
 def check_taken_back(context: Context) -> None:
     two = context.two
-    before, after = two.orders[: two.ordered_before], two.orders[two.ordered_before :]
+    before, after = two.orders[: two.orders_before_restart], two.orders[two.orders_before_restart :]
     assert {holder for holder, _ in two.orders} == {"entry-0"}, two.orders
     gap_ms = after[0][1] - before[-1][1]
     assert gap_ms < two.handover_ms, gap_ms
@@ -468,7 +472,7 @@
 
 @when("the second instance is lost")
 def lose_second(context: Context) -> None:
-    context.two.lose_second()
+    context.two.kill_second()
 
 
 @then("no orders are given once the last proof has run out")
--- a/features/steps/direct_policy_steps.py
+++ b/features/steps/direct_policy_steps.py
@@ -17,9 +17,9 @@
 from mimosaspur_daemon.direct.callers import CallerServer
 from mimosaspur_daemon.direct.entrystate import EntryState
 from mimosaspur_daemon.direct.requesthandler import RequestHandler
-from mimosaspur_daemon.direct.storenews import CONFIGURATION
-from mimosaspur_daemon.direct.storenews import TARGETS
-from mimosaspur_daemon.direct.storenews import StoreTeller
+from mimosaspur_daemon.direct.storechanges import CONFIGURATION
+from mimosaspur_daemon.direct.storechanges import TARGETS
+from mimosaspur_daemon.direct.storechanges import StoreChanges
 from mimosaspur_daemon.direct.targetselector import TargetSelector
 from mimosaspur_state.codes import ResultCode
 from mimosaspur_state.errors import MimosaspurError
@@ -97,7 +97,7 @@
     now_ms = context.state.clock.now_ms()
     for what in (TARGETS, CONFIGURATION):
         context.state.freshness.confirm(what, asked_ms=now_ms)
-    assert not StoreTeller(context.state).fresh()
+    assert not StoreChanges(context.state).shareable()
 
 
 @then("nothing is taken by a leaving entry")
--- a/features/steps/direct_quotas_steps.py
+++ b/features/steps/direct_quotas_steps.py
@@ -25,7 +25,7 @@
 from mimosaspur_coordination.quota.limiter import QuotaLimiter
 from mimosaspur_coordination.quota.quotabucket import QuotaBucket
 from mimosaspur_daemon.direct.entrystate import EntryState
-from mimosaspur_daemon.direct.quotateller import QuotaTeller
+from mimosaspur_daemon.direct.quotaaccounting import QuotaAccounting
 from mimosaspur_load.quotas.play import QuotaPlay
 from mimosaspur_load.quotas.play import play
 from mimosaspur_load.quotas.troubles import Trouble
@@ -220,7 +220,7 @@
     state.apply_configuration(replace(newest, workspaces=limited), source="test")
     if told != "no":
         state.quotas.apply_update([], entries=int(told))
-    context.teller = QuotaTeller(state)
+    context.teller = QuotaAccounting(state)
 
 
 @when("{count:d} entries follow it for {seconds:d} s")
@@ -228,8 +228,8 @@
     for _ in range(seconds * 10):
         for number in range(count):
             report = EntryReport(f"entry-{number}", 1, [], [], [], [])
-            context.teller.hear(report, first=False)
-        context.teller.news(count)
+            context.teller.apply_report(report, first=False)
+        context.teller.changed_remaining(count)
         context.clock.ms += 100
 
 
--- a/features/steps/direct_repeats_steps.py
+++ b/features/steps/direct_repeats_steps.py
@@ -10,7 +10,7 @@
 from hypothesis import settings
 from hypothesis import strategies
 
-from harness.direct_fleet import HeldClock
+from harness.direct_fleet import ManualClock
 from harness.direct_site import Site
 from harness.loop import run
 from harness.share_simulation import Event
@@ -129,7 +129,7 @@
 
 @given("an entry that was told of its part for {seconds:d} s")
 def hold_part(context: Context, seconds: int) -> None:
-    context.clock = HeldClock(1_000)
+    context.clock = ManualClock(1_000)
     context.lease = ShareLease(window_ms=WINDOW_MS, clock=context.clock)
     _renew(context, seconds * 1_000)
 
--- a/features/steps/direct_restored_steps.py
+++ b/features/steps/direct_restored_steps.py
@@ -10,7 +10,7 @@
 from behave.runner import Context
 
 from harness.direct_entry import null_log
-from harness.direct_fleet import HeldClock
+from harness.direct_fleet import ManualClock
 from harness.direct_registrations import SERVERS
 from harness.direct_registrations import FollowingEntry
 from harness.direct_registrations import server_entry
@@ -28,7 +28,7 @@
 
 @given("a store whose answers name the eras {eras}")
 def note_eras(context: Context, eras: str) -> None:
-    context.clock = HeldClock(1_000)
+    context.clock = ManualClock(1_000)
     context.log = null_log("entry-0")
     context.era = StoreEra(clock=context.clock, log=context.log)
     for each in eras.split(", "):
@@ -128,8 +128,8 @@
     async def watch(self) -> None:
         while True:
             for entry in self.site.entries:
-                lease = entry.duty.lease
-                if entry.duty.coordinator and lease.is_confirmed() and lease.record:
+                lease = entry.election.lease
+                if entry.election.coordinator and lease.is_confirmed() and lease.record:
                     holders = self.holders.setdefault(lease.record.token, set())
                     holders.add(entry.state.settings.instance)
             await asyncio.sleep(0.005)
@@ -178,7 +178,7 @@
     if copied == "that names an earlier holder":
         old = store.copy()
         lease = old.objects[LEASES]["orders"]["specification"]
-        lease["holder"], lease["port"] = "entry-1", context.site.entries[1].duty.address[1]
+        lease["holder"], lease["port"] = "entry-1", context.site.entries[1].election.address[1]
         return old
     return store.copy()
 
@@ -218,7 +218,7 @@
 
 @given("a lease with a handover of {handover_ms:d} ms, which {holder} held before")
 def hold_before(context: Context, handover_ms: int, holder: str) -> None:
-    context.clock = HeldClock(10_000)
+    context.clock = ManualClock(10_000)
     context.lease = OrderLease("me", handover_ms=handover_ms, clock=context.clock)
     names = {"nobody": "", "another instance": "another", "this instance": "me"}
     context.predecessor = names[holder]
--- a/features/steps/direct_retries_steps.py
+++ b/features/steps/direct_retries_steps.py
@@ -16,7 +16,7 @@
 from harness.virtual_time import VirtualClock
 from harness.virtual_time import VirtualTimeLoop
 from harness.virtual_time import run_in_virtual_time
-from mimosaspur_daemon.direct.duty import Duty
+from mimosaspur_daemon.direct.election import CoordinatorElection
 from mimosaspur_daemon.direct.entrystate import EntryState
 from mimosaspur_daemon.direct.storewatch import StoreWatch
 from mimosaspur_state.eventlog import EventLog
@@ -56,7 +56,7 @@
 def pass_time(context: Context, seconds: int) -> None:
     async def play() -> None:
         watch = StoreWatch(context.state)
-        duty = Duty(context.state)
+        duty = CoordinatorElection(context.state)
         duty.lease.clock = context.clock
         work = (watch.follow_targets(), watch.follow_configuration(), duty.run())
         tasks = [asyncio.create_task(each) for each in work]
--- a/features/steps/direct_store_steps.py
+++ b/features/steps/direct_store_steps.py
@@ -71,7 +71,7 @@
         store = context.store
         if away == "forgetting its history":
             store.put(SERVERS, "i-9", server_entry())
-            store.forget()
+            store.compact_history()
         store.silent = away == "silent"
         store.status = int(away.removeprefix("answering ")) if "answering" in away else 0
         await asyncio.sleep(ms / 1000)
@@ -128,7 +128,7 @@
 
 @when("{fault}, and a server starts to leave")
 def strike_coordinator(context: Context, fault: str) -> None:
-    context.site.strike(fault)
+    context.site.inject_fault(fault)
     context.store.put(SERVERS, "i-1", server_entry("draining"))
 
 
@@ -178,7 +178,7 @@
     asked = entries or context.site.entries
 
     def known() -> bool:
-        return all(entry.knows(**what) for entry in asked)
+        return all(entry.has_applied(**what) for entry in asked)
 
     run(context, context.site.until(known, limit_ms / 1000))
 
@@ -240,7 +240,7 @@
         context.seen = []
         context.store.status = 503
         await _until(lambda: "targets" in context.state.unavailable, 5.0)
-        lapsed = context.store.lapse(SERVERS, "i-0")
+        lapsed = context.store.expire(SERVERS, "i-0")
         context.store.status = 0
         await _until(lambda: "targets" not in context.state.unavailable, 2.0)
         await _watch_presence(context, 1.0)
--- a/features/steps/direct_work_steps.py
+++ b/features/steps/direct_work_steps.py
@@ -12,7 +12,7 @@
 from hypothesis import settings
 from hypothesis import strategies
 
-from harness.direct_fleet import HeldClock
+from harness.direct_fleet import ManualClock
 from harness.report_simulation import CoordinatorWithMembers
 from harness.report_simulation import ReportSimulation
 from mimosaspur_coordination.fleetview import FleetView
@@ -148,7 +148,7 @@
 @given("engines that read slow at {slow:d} tokens a ms and fast at {fast:d} tokens a ms")
 def set_engines(context: Context, slow: int, fast: int) -> None:
     context.speeds = {"slow": slow, "fast": fast}
-    context.fleet = FleetView(clock=HeldClock(0))
+    context.fleet = FleetView(clock=ManualClock(0))
     records = [TargetRecord(name, "models", ("127.0.0.1", 1), "here") for name in "xyz"]
     context.fleet.update(records, ())
 
@@ -210,7 +210,7 @@
     context.shared = SharedPaces()
     context.entries = []
     for _ in range(count):
-        fleet = FleetView(clock=HeldClock(0))
+        fleet = FleetView(clock=ManualClock(0))
         fleet.update([TargetRecord("x", "models", ("127.0.0.1", 1), "here")], ())
         context.entries.append(fleet)
 
--- a/features/steps/direct_workspaces_steps.py
+++ b/features/steps/direct_workspaces_steps.py
@@ -29,7 +29,7 @@
 from mimosaspur_coordination.workspaces.credentials import read_bearer
 from mimosaspur_coordination.workspaces.ranks import priority_of
 from mimosaspur_coordination.workspaces.ranks import rank_table
-from mimosaspur_daemon.direct.entryreport import entry_report
+from mimosaspur_daemon.direct.entryreport import build_entry_report
 from mimosaspur_daemon.direct.taskstacks import task_stacks
 from mimosaspur_protocol.configurations import encode_configuration
 from mimosaspur_protocol.peermessages import encode_peer
@@ -217,7 +217,9 @@
 
     run(context, ask_all())
     logged = os.read(reading, 1_000_000)
-    told = encode_peer(entry_report(state)) + encode_peer(encode_configuration(state.configuration))
+    told = encode_peer(build_entry_report(state)) + encode_peer(
+        encode_configuration(state.configuration)
+    )
     shown = repr(state.configuration) + log.counters.text() + json.dumps(logged.decode())
     for keys in (*KEYS.values(), (UNKNOWN_KEY,)):
         for key in keys:
--- a/packages/daemon/src/mimosaspur_daemon/direct/adapterkeeper.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/adapterscheduler.py
@@ -11,37 +11,37 @@
 from mimosaspur_coordination.adapterplacement import AdapterMove
 from mimosaspur_coordination.adapterplacement import AdapterPlacement
 from mimosaspur_coordination.modeldemand import ModelDemand
-from mimosaspur_daemon.direct.enginedesk import EngineDesk
+from mimosaspur_daemon.direct.enginecontroller import EngineController
 from mimosaspur_state.eventlog import EventLog
 from mimosaspur_state.routes import EngineSpec
 
 # Requests a second for an adapter that nobody has asked for yet, for each token a second that its
 # model is asked for: one request in ten names an adapter, and a request has some 2,000 tokens.
-UNSEEN_REQUESTS = 0.1 / 2_000
+UNSEEN_REQUESTS_PER_TOKEN = 0.1 / 2_000
 # What is asked of a model's other adapters counts for this one too, in this part.
-SIBLINGS_PART = 0.5
+SIBLING_DEMAND_SHARE = 0.5
 
 
-class AdapterKeeper:
+class AdapterScheduler:
     """Start the adapters' moves, one at a time on each engine."""
 
     def __init__(
         self,
         *,
         demand: AdapterDemand,
-        models: ModelDemand,
+        model_demand: ModelDemand,
         log: EventLog,
         spawn: Callable[["asyncio._CoroutineLike[None]"], None],
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
         self.demand = demand
-        self.models = models
+        self.model_demand = model_demand
         self.log = log
         self.spawn = spawn
-        self.changed = changed
+        self.on_change = on_change
 
     def place_waiting(
-        self, spec: EngineSpec, desks: Sequence[EngineDesk], waiting: Collection[Adapter]
+        self, spec: EngineSpec, desks: Sequence[EngineController], waiting: Collection[Adapter]
     ) -> None:
         """Begin the moves for adapters that requests wait for."""
         if not waiting:
@@ -50,13 +50,13 @@
         for wanted in sorted(waiting):
             move = placement.for_waiting(wanted)
             if move:
-                self._begin(desks, move, spec, waiting=True)
+                self._start_move(desks, move, spec, waiting=True)
                 placement = self._placement(spec, desks)
 
-    def place_ahead(self, spec: EngineSpec, desks: Sequence[EngineDesk]) -> bool:
+    def preload(self, spec: EngineSpec, desks: Sequence[EngineController]) -> bool:
         """Begin the moves for adapters that are likely to be asked for; tell if there were any."""
         names = {model: each.adapters for model, each in spec.models.items() if each.adapters}
-        if not names or any(desk.unanswered_lately() for desk in desks):
+        if not names or any(desk.recently_unanswered() for desk in desks):
             return False
         placement = self._placement(spec, desks)
         begun = False
@@ -64,15 +64,15 @@
             move = placement.preload(engine, names)
             if move:
                 begun = True
-                self._begin(desks, move, spec, waiting=False)
+                self._start_move(desks, move, spec, waiting=False)
         return begun
 
     def _shared_rate(self, model: str) -> float:
         """Return the rate that all adapters of a model can expect together."""
-        unseen = self.models.current(model).fast_tokens * UNSEEN_REQUESTS
-        return unseen + self.demand.model_rate(model) * SIBLINGS_PART
+        unseen = self.model_demand.current(model).fast_tokens * UNSEEN_REQUESTS_PER_TOKEN
+        return unseen + self.demand.model_rate(model) * SIBLING_DEMAND_SHARE
 
-    def _placement(self, spec: EngineSpec, desks: Sequence[EngineDesk]) -> AdapterPlacement:
+    def _placement(self, spec: EngineSpec, desks: Sequence[EngineController]) -> AdapterPlacement:
         shared: dict[str, float] = {}
 
         def expected(model: str, adapter: str) -> float:
@@ -86,7 +86,7 @@
                 desk.record.identity,
                 desk.adapters_held(),
                 spec.adapter_slots,
-                desk.takes_adapters(),
+                desk.accepts_adapters(),
                 desk.recent_adapters(),
             )
             for desk in desks
@@ -94,8 +94,13 @@
         ]
         return AdapterPlacement(engines, expected)
 
-    def _begin(
-        self, desks: Sequence[EngineDesk], move: AdapterMove, spec: EngineSpec, *, waiting: bool
+    def _start_move(
+        self,
+        desks: Sequence[EngineController],
+        move: AdapterMove,
+        spec: EngineSpec,
+        *,
+        waiting: bool,
     ) -> None:
         desk = next(each for each in desks if each.record.identity == move.identity)
         desk.placing_adapter = (move.model, move.adapter)
@@ -110,9 +115,9 @@
         )
         self.spawn(self._load(desk, move, spec.adapter_slots))
 
-    async def _load(self, desk: EngineDesk, move: AdapterMove, places: int) -> None:
+    async def _load(self, desk: EngineController, move: AdapterMove, slots: int) -> None:
         try:
-            await desk.load_adapter(move.model, move.adapter, places=places, victim=move.victim)
+            await desk.load_adapter(move.model, move.adapter, slots=slots, victim=move.victim)
         finally:
             desk.placing_adapter = None
-            self.changed()
+            self.on_change()
--- a/packages/daemon/src/mimosaspur_daemon/direct/application.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/application.py
@@ -6,7 +6,7 @@
 from collections.abc import Coroutine
 
 from mimosaspur_daemon.direct.callers import CallerServer
-from mimosaspur_daemon.direct.duty import Duty
+from mimosaspur_daemon.direct.election import CoordinatorElection
 from mimosaspur_daemon.direct.entrystate import EntryDependencies
 from mimosaspur_daemon.direct.entrystate import EntryState
 from mimosaspur_daemon.direct.evacuation import Evacuation
@@ -39,7 +39,7 @@
         self.state = EntryState(settings, outside)
         self.callers = CallerServer(self.state)
         self.status = StatusServer(self.state)
-        self.coordination = Duty(self.state)
+        self.coordination = CoordinatorElection(self.state)
         self.store_watch = StoreWatch(self.state)
         self.evacuation = Evacuation(self.state, self.callers.handlers)
         self.tasks: list[asyncio.Task[None]] = []
--- a/packages/daemon/src/mimosaspur_daemon/direct/configurationexchange.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/configurationexchange.py
@@ -15,8 +15,8 @@
 from mimosaspur_transport.peerlink import PeerLost
 
 # A peer that doesn't send what it was asked for is asked again, or another one is, after so long.
-ASK_AGAIN_MS = 500
-NEVER = -1_000_000_000
+REQUEST_RETRY_MS = 500
+NO_REQUEST_MS = -1_000_000_000
 
 
 class ConfigurationExchange:
@@ -25,31 +25,31 @@
     Only whole configurations are passed on, so that nothing has to be put together from parts.
     """
 
-    __slots__ = ("asked_ms", "encoded", "state")
+    __slots__ = ("requested_ms", "encoded", "state")
 
     def __init__(self, state: EntryState) -> None:
         self.state = state
-        self.asked_ms = NEVER
+        self.requested_ms = NO_REQUEST_MS
         # The configuration in force, as it is told.
         self.encoded: ConfigurationTold | None = None
 
-    def heard(self, version: int, link: PeerLink) -> None:
+    def on_version(self, version: int, link: PeerLink) -> None:
         """Ask a peer for the configuration that it has if that is newer."""
         now_ms = self.state.clock.now_ms()
-        if version <= self.state.version() or now_ms - self.asked_ms < ASK_AGAIN_MS:
+        if version <= self.state.version() or now_ms - self.requested_ms < REQUEST_RETRY_MS:
             return
         if not self.state.uses(Mechanism.PEER_CONFIGURATION):
             return
-        self.asked_ms = now_ms
+        self.requested_ms = now_ms
         with contextlib.suppress(PeerLost):
             link.send(ConfigurationWanted(self.state.version()))
 
     @singledispatchmethod
-    def take(self, message: PeerMessage, link: PeerLink) -> None:
+    def on_message(self, message: PeerMessage, link: PeerLink) -> None:
         """Take a peer's message if it is one about configurations."""
 
-    @take.register
-    def _wanted(self, message: ConfigurationWanted, link: PeerLink) -> None:
+    @on_message.register
+    def _on_request(self, message: ConfigurationWanted, link: PeerLink) -> None:
         """Tell a peer the configuration in force here if it knows an older one."""
         configuration = self.state.configuration
         if configuration is None or configuration.version <= message.known:
@@ -59,10 +59,10 @@
         with contextlib.suppress(PeerLost):
             link.send(self.encoded)
 
-    @take.register
-    def _told(self, message: ConfigurationTold, link: PeerLink) -> None:
+    @on_message.register
+    def _on_configuration(self, message: ConfigurationTold, link: PeerLink) -> None:
         """Put a peer's configuration in force if it is whole and newer."""
-        self.asked_ms = NEVER
+        self.requested_ms = NO_REQUEST_MS
         try:
             configuration = decode_configuration(message)
         except PeerProtocolError as error:
--- a/packages/daemon/src/mimosaspur_daemon/direct/coordinator.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/coordinator.py
@@ -10,11 +10,11 @@
 from mimosaspur_coordination.placementproblem import PlacementProblem
 from mimosaspur_coordination.placementproblem import Swap
 from mimosaspur_coordination.weightloadlimiter import WeightLoadLimiter
-from mimosaspur_daemon.direct.adapterkeeper import AdapterKeeper
+from mimosaspur_daemon.direct.adapterscheduler import AdapterScheduler
 from mimosaspur_daemon.direct.configurationexchange import ConfigurationExchange
-from mimosaspur_daemon.direct.enginedesk import EngineDesk
+from mimosaspur_daemon.direct.enginecontroller import EngineController
+from mimosaspur_daemon.direct.engineregistry import EngineRegistry
 from mimosaspur_daemon.direct.entrystate import EntryState
-from mimosaspur_daemon.direct.knownengines import KnownEngines
 from mimosaspur_daemon.direct.members import Member
 from mimosaspur_daemon.direct.members import Members
 from mimosaspur_protocol.peermessages import EntryReport
@@ -27,25 +27,25 @@
 from mimosaspur_transport.peerlink import PeerLost
 
 # How often the coordinator decides and tells; news of models go out at once.
-TURN_MS = 60
+ROUND_INTERVAL_MS = 60
 # A turn is followed by a pause of so many times its length, which bounds the processor time, and of
 # so much at least: hundreds of entries whose callers wait have news in every millisecond.
-PAUSE_TIMES = 3.0
-LEAST_PAUSE_S = 0.02
+PAUSE_RATIO = 3.0
+MIN_PAUSE_S = 0.02
 # An entry that says nothing for so long is no longer counted.
-ENTRY_SILENT_MS = 1_500
+ENTRY_TIMEOUT_MS = 1_500
 # While no more loads than this run from the weight store, they take the time that the
 # configuration names.
-FULL_SPEED_LOADS = 3
+MAX_FULL_SPEED_LOADS = 3
 # Below this demand, in tokens a second, no request for a model is likely to be on its way.
-REQUESTED_TOKENS = 50.0
+MIN_REQUESTED_TOKENS_PER_S = 50.0
 # A new coordinator has heard of what callers ask for by then.
-IDLE_AFTER_MS = 1_500
+IDLE_GRACE_MS = 1_500
 # So many entries are asked first for a proof of the lease: the store may turn one of them away too,
 # and each of them calls it.
-FEW_ENTRIES = 3
+PROOF_SAMPLE_COUNT = 3
 # After a change of coordinator nobody knows how many loads have just begun.
-ASSUMED_LOADS = 4
+ASSUMED_RECENT_LOADS = 4
 
 
 class Coordinator:
@@ -56,32 +56,32 @@
     ) -> None:
         self.state = state
         self.lease = lease
-        self.configurations = configurations
+        self.configuration_exchange = configurations
         self.clock = state.clock
-        self.members = Members(state, self._sharers())
-        self.began_ms = self.clock.now_ms()
+        self.members = Members(state, self._create_sharer_count())
+        self.started_ms = self.clock.now_ms()
         # Models that were loaded for a copy of their weights.
-        self.copied: set[str] = set()
+        self.loaded_for_copy: set[str] = set()
         self.demand = ModelDemand(clock=self.clock)
         bounds = state.settings.orders
-        self.loads = WeightLoadLimiter(bounds.load_window_ms, clock=self.clock)
-        self.loads.record(ASSUMED_LOADS)
+        self.load_rate = WeightLoadLimiter(bounds.load_window_ms, clock=self.clock)
+        self.load_rate.record(ASSUMED_RECENT_LOADS)
         self.tasks: set[asyncio.Task[None]] = set()
-        self.news = asyncio.Event()
-        self.engines = KnownEngines(state, lease, changed=self.news.set)
-        self.adapters = AdapterKeeper(
+        self.changed = asyncio.Event()
+        self.engines = EngineRegistry(state, lease, on_change=self.changed.set)
+        self.adapters = AdapterScheduler(
             demand=AdapterDemand(clock=self.clock),
-            models=self.demand,
+            model_demand=self.demand,
             log=state.log,
             spawn=self._spawn,
-            changed=self.news.set,
+            on_change=self.changed.set,
         )
         # The entries that have followed since the store was last reached.
-        self.required: set[str] = set()
+        self.required_proofs: set[str] = set()
         # Who has answered the last request for a proof that the store is away.
         self.proofs: dict[int, set[str]] = {}
 
-    def _sharers(self) -> SharerCount:
+    def _create_sharer_count(self) -> SharerCount:
         return SharerCount(
             window_ms=self.state.settings.retries.window_ms,
             predecessor_ended_ms=max(self.lease.clock.now_ms(), self.lease.first_order_ms),
@@ -93,19 +93,19 @@
         try:
             while True:
                 began_s = asyncio.get_running_loop().time()
-                self._turn()
-                self.members.tell(self.engines.desks.values(), self.lease)
+                self._run_round()
+                self.members.send_updates(self.engines.controllers.values(), self.lease)
                 # News comes with each report of each entry: the more there is to do in a turn, the
                 # fewer turns there are.
                 took_s = asyncio.get_running_loop().time() - began_s
                 self.state.log.counters.observe("turn_ms", took_s * 1000)
-                await asyncio.sleep(max(LEAST_PAUSE_S, took_s * PAUSE_TIMES))
+                await asyncio.sleep(max(MIN_PAUSE_S, took_s * PAUSE_RATIO))
                 try:
-                    async with asyncio.timeout(TURN_MS / 1000):
-                        await self.news.wait()
+                    async with asyncio.timeout(ROUND_INTERVAL_MS / 1000):
+                        await self.changed.wait()
                 except TimeoutError:
                     pass
-                self.news.clear()
+                self.changed.clear()
         finally:
             for task in self.tasks:
                 task.cancel()
@@ -116,28 +116,28 @@
         member: Member | None = None
         try:
             while True:
-                message = await link.receive(timeout_ms=ENTRY_SILENT_MS)
+                message = await link.receive(timeout_ms=ENTRY_TIMEOUT_MS)
                 if isinstance(message, ProofAnswer):
-                    self._hear_proof(message)
-                self.configurations.take(message, link)
+                    self._apply_proof(message)
+                self.configuration_exchange.on_message(message, link)
                 if not isinstance(message, EntryReport):
                     continue
                 if member is None:
                     member = self.members.add(message.instance, Member(link=link))
-                    self.required.add(message.instance)
-                    self.news.set()
-                self.hear(message, member)
-                self.configurations.heard(message.version, link)
+                    self.required_proofs.add(message.instance)
+                    self.changed.set()
+                self.apply_report(message, member)
+                self.configuration_exchange.on_version(message.version, link)
         except PeerLost:
             pass
         finally:
             link.close()
             if member:
-                self.members.forget(member)
+                self.members.remove(member)
 
-    def hear(self, report: EntryReport, member: Member) -> None:
+    def apply_report(self, report: EntryReport, member: Member) -> None:
         """Take an entry's report."""
-        self.members.hear(report, member)
+        self.members.apply_report(report, member)
         for asked in report.asked:
             if asked.tokens:
                 self.demand.count(asked.model, asked.tokens, objective_ms=asked.objective_ms)
@@ -146,15 +146,15 @@
                 asked_adapter.model, asked_adapter.adapter, asked_adapter.requests
             )
         for identity in report.unreachable:
-            desk = self.engines.desks.get(identity)
+            desk = self.engines.controllers.get(identity)
             if desk:
                 desk.suspected = True
-        if member.waiting or member.adapters:
-            self.news.set()
+        if member.waiting or member.waiting_adapters:
+            self.changed.set()
 
-    def hear_own(self, report: EntryReport) -> None:
+    def apply_local_report(self, report: EntryReport) -> None:
         """Take the report of this instance's own entry."""
-        self.hear(report, self.members.own(report.instance))
+        self.apply_report(report, self.members.local_member(report.instance))
 
     def step_down(self) -> None:
         """Tell all entries that this instance gives no more orders."""
@@ -162,19 +162,19 @@
         age_ms = self.lease.clock.now_ms() - self.lease.last_order_ms
         self.members.send(StepDown(max(0, age_ms)))
 
-    def store_reached(self) -> None:
+    def on_lease_read(self) -> None:
         """Take note that this instance has read the lease."""
-        self.required = self.members.linked()
+        self.required_proofs = self.members.linked_instances()
 
-    def ask_for_proof(self, asked_ms: int, *, everyone: bool) -> None:
+    def request_proofs(self, asked_ms: int, *, everyone: bool) -> None:
         """Have other entries read the lease, since the store doesn't answer here.
 
         One that reaches the store is enough; only when none does must all of them say so.
         """
         self.proofs = {asked_ms: set()}
-        self.members.send(ProofRequest(asked_ms), most=None if everyone else FEW_ENTRIES)
+        self.members.send(ProofRequest(asked_ms), limit=None if everyone else PROOF_SAMPLE_COUNT)
 
-    def _hear_proof(self, answer: ProofAnswer) -> None:
+    def _apply_proof(self, answer: ProofAnswer) -> None:
         if answer.reached_store:
             self.lease.confirm_from_peer(
                 holder=answer.holder, token=answer.token, asked_ms=answer.asked_ms
@@ -184,12 +184,12 @@
         if agreed is None:
             return
         agreed.add(answer.instance)
-        if agreed >= self.required:
+        if agreed >= self.required_proofs:
             self.lease.extend_during_outage(asked_ms=answer.asked_ms)
 
-    def _turn(self) -> None:
+    def _run_round(self) -> None:
         self.engines.update()
-        self._ask_for_reports()
+        self._request_due_reports()
         if not self.lease.may_order():
             return
         self.engines.running = self.members.running()
@@ -199,46 +199,48 @@
 
     def _place(self, service: str, spec: EngineSpec) -> None:
         """Begin the moves on a service's engines."""
-        desks = self.engines.of(service)
+        desks = self.engines.of_service(service)
         self.adapters.place_waiting(spec, desks, self.members.waiting_adapters())
         search = self._search(service, spec)
         while search and (swap := search.next_swap()) is not None:
-            self._begin(swap)
+            self._start_swap(swap)
             search = self._search(service, spec)
         begun = False
         if self.state.uses(Mechanism.ADAPTERS_AHEAD):
-            begun = self.adapters.place_ahead(spec, desks)
+            begun = self.adapters.preload(spec, desks)
         if not self.state.uses(Mechanism.COPIES):
             return
         if begun:
             search = self._search(service, spec)
         while search and (swap := search.next_copy()) is not None:
-            self._begin(swap)
+            self._start_swap(swap)
             search = self._search(service, spec)
 
     def _search(self, service: str, spec: EngineSpec) -> PlacementSearch | None:
         """Return the search for loads as things stand, None while no engine can begin one."""
-        if not any(desk.usable() and not desk.free_in_ms() for desk in self.engines.of(service)):
+        if not any(
+            desk.usable() and not desk.free_in_ms() for desk in self.engines.of_service(service)
+        ):
             return None
         return PlacementSearch(self._problem(service, spec))
 
-    def _ask_for_reports(self) -> None:
-        for desk in self.engines.desks.values():
+    def _request_due_reports(self) -> None:
+        for desk in self.engines.controllers.values():
             if desk.report_due():
-                desk.reported_ms = self.clock.now_ms()
-                self._spawn(self._look(desk))
+                desk.report_requested_ms = self.clock.now_ms()
+                self._spawn(self._refresh(desk))
 
-    async def _look(self, desk: EngineDesk) -> None:
-        await desk.look()
+    async def _refresh(self, desk: EngineController) -> None:
+        await desk.refresh()
 
     def _problem(self, service: str, spec: EngineSpec) -> PlacementProblem:
         return PlacementProblem(
             spec,
             self.engines.snapshots(service),
             {model: self.demand.current(model) for model in spec.models},
-            store_load_allowed=self.loads.allows(spec.loads_per_s),
+            store_load_allowed=self.load_rate.allows(spec.loads_per_s),
             idle=self._idle(),
-            preloaded=self.copied,
+            preloaded=self.loaded_for_copy,
             stream_ms=self._stream_ms(service),
             protect_last_copies=self.state.uses(Mechanism.LAST_COPY),
         )
@@ -250,16 +252,16 @@
 
     def _idle(self) -> bool:
         """Tell whether nobody has asked for anything since this instance began to coordinate."""
-        early = self.clock.now_ms() - self.began_ms < IDLE_AFTER_MS
+        early = self.clock.now_ms() - self.started_ms < IDLE_GRACE_MS
         return not early and not self.demand.any_requested()
 
-    def _begin(self, swap: Swap) -> None:
-        desk = self.engines.desks[swap.identity]
-        desk.take(swap.model, swap.load_ms, unload_ms=swap.unload_ms)
+    def _start_swap(self, swap: Swap) -> None:
+        desk = self.engines.controllers[swap.identity]
+        desk.reserve(swap.model, swap.load_ms, unload_ms=swap.unload_ms)
         if swap.for_copy:
-            self.copied.add(swap.model)
+            self.loaded_for_copy.add(swap.model)
         if swap.from_store:
-            self.loads.record()
+            self.load_rate.record()
         demand = self.demand.current(swap.model)
         self.state.log.write(
             "swap",
@@ -274,25 +276,25 @@
         )
         self._spawn(self._swap(desk, swap))
 
-    async def _swap(self, desk: EngineDesk, swap: Swap) -> None:
-        store_loads = sum(each.from_store for each in self.engines.desks.values())
+    async def _swap(self, desk: EngineController, swap: Swap) -> None:
+        store_loads = sum(each.from_store for each in self.engines.controllers.values())
         desk.from_store = swap.from_store
         done = await desk.swap(
             swap.model,
             swap.victims,
             load_ms=swap.load_ms,
-            foreseeable=not swap.from_store or store_loads <= FULL_SPEED_LOADS,
+            predictable=not swap.from_store or store_loads <= MAX_FULL_SPEED_LOADS,
             requested=any(self._requested(victim) for victim in swap.victims),
         )
         desk.from_store = False
         if done and swap.for_copy and not self.demand.current(swap.model).last_request_ms:
-            await self._restore(desk, swap)
+            await self._restore_victims(desk, swap)
         self.state.log.write("swapped", target=swap.identity, model=swap.model, done=done)
 
     def _requested(self, model: str) -> bool:
-        return self.demand.current(model).fast_tokens >= REQUESTED_TOKENS
+        return self.demand.current(model).fast_tokens >= MIN_REQUESTED_TOKENS_PER_S
 
-    async def _restore(self, desk: EngineDesk, swap: Swap) -> None:
+    async def _restore_victims(self, desk: EngineController, swap: Swap) -> None:
         """Bring back what made room for a model that was loaded only for its copy."""
         configuration = self.state.configuration
         service = configuration.services.get(desk.record.service) if configuration else None
--- a/packages/daemon/src/mimosaspur_daemon/direct/duty.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/election.py
@@ -10,7 +10,7 @@
 from mimosaspur_coordination.orderlease import OrderLease
 from mimosaspur_daemon.direct.configurationexchange import ConfigurationExchange
 from mimosaspur_daemon.direct.coordinator import Coordinator
-from mimosaspur_daemon.direct.entryreport import entry_report
+from mimosaspur_daemon.direct.entryreport import build_entry_report
 from mimosaspur_daemon.direct.entrystate import EntryState
 from mimosaspur_daemon.direct.fleetreport import apply_report
 from mimosaspur_protocol.peermessages import FleetReport
@@ -25,28 +25,28 @@
 from mimosaspur_transport.peerlink import PeerLost
 
 # An entry tells the coordinator this often; a request that waits for a model is told at once.
-REPORT_EVERY_S = 0.1
+REPORT_INTERVAL_S = 0.1
 # At most this often, whatever happens.
-REPORT_PAUSE_S = 0.01
+MIN_REPORT_INTERVAL_S = 0.01
 # A coordinator that says nothing for so long is taken for lost.
-SILENT_MS = 1_000
+COORDINATOR_TIMEOUT_MS = 1_000
 # Whoever finds it lost waits a little, for it may be back, and lest all contend at once.
-CONTEND_AFTER_S = 0.5
+CONTEND_DELAY_S = 0.5
 CONTEND_JITTER_S = 0.6
 # Another one that contends has just written the lease, or a call to the store has failed.
-LEAST_RETRY_S = 0.05
+MIN_RETRY_S = 0.05
 # How often one that leaves looks whether another has the lease.
-LEAVING_LOOK_S = 0.3
+LEAVING_POLL_S = 0.3
 # How often whoever waits to contend looks whether the last holder is back.
-LEASE_LOOK_S = 0.3
-HOLD_CHECK_S = 0.1
+LEASE_POLL_S = 0.3
+LEASE_CHECK_INTERVAL_S = 0.1
 # Between the second and the third attempt at a proof; the lease lasts for a few of them.
-RENEWAL_PAUSE_MS = 200
+RENEWAL_RETRY_MS = 200
 # A proof that takes longer is asked of the other entries.
-RENEW_TIMEOUT_S = 0.4
+RENEWAL_TIMEOUT_S = 0.4
 
 
-class Duty:
+class CoordinatorElection:
     """Coordinate while the lease is held here, follow its holder otherwise."""
 
     def __init__(self, state: EntryState) -> None:
@@ -61,21 +61,21 @@
         # Reset by a lease that could be taken, or whose holder could be followed.
         self.backoff = Backoff()
         self.coordinator: Coordinator | None = None
-        self.configurations = ConfigurationExchange(state)
+        self.configuration_exchange = ConfigurationExchange(state)
         # Reset when the lease is proved again, by whomever.
-        self.renewals = Backoff(initial_delay_ms=RENEWAL_PAUSE_MS)
+        self.renewal_backoff = Backoff(initial_delay_ms=RENEWAL_RETRY_MS)
         # How often in a row the store has refused to prove the lease.
         self.refused_renewals = 0
         # Whether this instance has stepped down for good.
-        self.ended = False
+        self.has_stepped_down = False
         # When the last coordinator gave its last order, if it told as it stepped down.
-        self.last_order_ms: int | None = None
+        self.predecessor_last_order_ms: int | None = None
         # Whether it stepped down while it was followed.
-        self.stepped_down = False
+        self.predecessor_stepped_down = False
 
     async def listen(self) -> asyncio.Server:
         """Accept links from other entries."""
-        return await asyncio.start_server(self._accepted, *self.address)
+        return await asyncio.start_server(self._serve_link, *self.address)
 
     async def run(self) -> None:
         """Coordinate or follow for as long as the process runs."""
@@ -92,11 +92,11 @@
                     await self._contend(record.token)
             except (StoreUnavailable, VersionConflict) as error:
                 if isinstance(error, StoreUnavailable) and self.lease.record:
-                    await self._follow_last(self.lease.record)
+                    await self._follow_last_known(self.lease.record)
                 self.backoff.record_failure()
-                await asyncio.sleep(max(LEAST_RETRY_S, self.backoff.delay_s()))
+                await asyncio.sleep(max(MIN_RETRY_S, self.backoff.delay_s()))
 
-    async def _follow_last(self, record: LeaseRecord) -> None:
+    async def _follow_last_known(self, record: LeaseRecord) -> None:
         """Follow the last known coordinator: the store may fail this instance alone."""
         if not self.lease.is_holder():
             await self._follow(record.address)
@@ -110,14 +110,14 @@
         """
         if self.coordinator:
             self.coordinator.step_down()
-            self.ended = True
+            self.has_stepped_down = True
 
     async def _take_over(self) -> None:
-        if self.state.leaving or self.ended:
+        if self.state.leaving or self.has_stepped_down:
             # The lease may still name this instance: its successor takes it over.
-            await asyncio.sleep(LEAVING_LOOK_S)
+            await asyncio.sleep(LEAVING_POLL_S)
             return
-        if self.lease.record is None and not await self._still_free():
+        if self.lease.record is None and not await self._lease_still_free():
             return
         predecessor = self.lease.record.holder if self.lease.record else ""
         asked_ms = self.lease.clock.now_ms()
@@ -127,14 +127,14 @@
         self.backoff.record_success()
         forgotten = self.lease.record_lost
         self.lease.acquire(record, asked_ms=asked_ms, predecessor=predecessor)
-        if self.last_order_ms is not None and not forgotten:
-            self.lease.on_predecessor_release(last_order_ms=self.last_order_ms)
-            self.last_order_ms = None
+        if self.predecessor_last_order_ms is not None and not forgotten:
+            self.lease.on_predecessor_release(last_order_ms=self.predecessor_last_order_ms)
+            self.predecessor_last_order_ms = None
         self.state.log.always("coordinating", token=record.token, predecessor=predecessor)
         await self._coordinate()
         self.state.log.always("coordinated", token=record.token)
 
-    async def _still_free(self) -> bool:
+    async def _lease_still_free(self) -> bool:
         """Let instances that can carry more take a lease that nobody ever held."""
         stand_back_s = coordinatorcapacity.candidacy_delay_s(self.state.settings)
         if not stand_back_s:
@@ -147,11 +147,13 @@
         return self.lease.record is None
 
     async def _coordinate(self) -> None:
-        coordinator = self.coordinator = Coordinator(self.state, self.lease, self.configurations)
+        coordinator = self.coordinator = Coordinator(
+            self.state, self.lease, self.configuration_exchange
+        )
         self.state.coordinating = True
         tasks = [
             asyncio.create_task(coordinator.run()),
-            asyncio.create_task(self._report_own(coordinator)),
+            asyncio.create_task(self._report_locally(coordinator)),
         ]
         try:
             await self._hold_lease(tasks)
@@ -164,7 +166,7 @@
 
     async def _hold_lease(self, tasks: list[asyncio.Task[None]]) -> None:
         """Prove the lease again and again until another instance holds it."""
-        while self.lease.is_holder() and not self.ended:
+        while self.lease.is_holder() and not self.has_stepped_down:
             for task in tasks:
                 if task.done():
                     # A failure of these is a fault of ours: it must show.
@@ -173,37 +175,37 @@
                 await self._renew()
             else:
                 self.refused_renewals = 0
-                self.renewals.record_success()
+                self.renewal_backoff.record_success()
             # A renewal asks other entries too, each of which calls the store.
-            await asyncio.sleep(max(HOLD_CHECK_S, self.renewals.delay_s()))
+            await asyncio.sleep(max(LEASE_CHECK_INTERVAL_S, self.renewal_backoff.delay_s()))
 
     async def _renew(self) -> None:
         asked_ms = self.lease.clock.now_ms()
         try:
-            async with asyncio.timeout(RENEW_TIMEOUT_S):
+            async with asyncio.timeout(RENEWAL_TIMEOUT_S):
                 record = await self.state.dependencies.store.read_lease()
         except StoreUnavailable:
-            self.renewals.record_failure()
+            self.renewal_backoff.record_failure()
             # Turned away at once: it may be this instance alone, and there is time to ask all.
             self.refused_renewals += 1
-            self._ask_for_proof(everyone=self.refused_renewals > 1)
+            self._request_proofs(everyone=self.refused_renewals > 1)
             return
         except TimeoutError:
-            self.renewals.record_failure()
-            self._ask_for_proof(everyone=True)
+            self.renewal_backoff.record_failure()
+            self._request_proofs(everyone=True)
             return
         proved = self.lease.is_confirmed()
         self.lease.update_from_store(record, asked_ms=asked_ms)
         if self.lease.record_lost and proved:
             await self._reclaim()
         if self.coordinator:
-            self.coordinator.store_reached()
+            self.coordinator.on_lease_read()
 
     async def _reclaim(self) -> None:
         """Take the lease again that the store has forgotten, unless another instance does."""
         asked_ms = self.lease.clock.now_ms()
         try:
-            async with asyncio.timeout(RENEW_TIMEOUT_S):
+            async with asyncio.timeout(RENEWAL_TIMEOUT_S):
                 record = await self.state.dependencies.store.write_lease(
                     self.lease.next_record(self.address)
                 )
@@ -213,14 +215,14 @@
         self.lease.reclaim(record, asked_ms=asked_ms)
         self.state.log.always("lease_reclaimed", token=record.token)
 
-    def _ask_for_proof(self, *, everyone: bool) -> None:
+    def _request_proofs(self, *, everyone: bool) -> None:
         if self.coordinator:
-            self.coordinator.ask_for_proof(self.lease.clock.now_ms(), everyone=everyone)
+            self.coordinator.request_proofs(self.lease.clock.now_ms(), everyone=everyone)
 
-    async def _report_own(self, coordinator: Coordinator) -> None:
+    async def _report_locally(self, coordinator: Coordinator) -> None:
         while True:
-            coordinator.hear_own(entry_report(self.state))
-            await self._next_report()
+            coordinator.apply_local_report(build_entry_report(self.state))
+            await self._wait_for_next_report()
 
     async def _follow(self, address: tuple[str, int]) -> bool:
         """Follow a coordinator until it is lost; tell whether it stepped down or lapsed."""
@@ -233,23 +235,25 @@
         reporting = asyncio.create_task(self._report_to(link))
         try:
             while True:
-                message = await link.receive(timeout_ms=SILENT_MS)
+                message = await link.receive(timeout_ms=COORDINATOR_TIMEOUT_MS)
                 if isinstance(message, ProofRequest):
-                    await self._prove(link, message)
+                    await self._answer_proof_request(link, message)
                 if isinstance(message, StepDown):
-                    self.last_order_ms = self.lease.clock.now_ms() - message.last_order_age_ms
-                    self.stepped_down = followed
+                    self.predecessor_last_order_ms = (
+                        self.lease.clock.now_ms() - message.last_order_age_ms
+                    )
+                    self.predecessor_stepped_down = followed
                     return False
                 if isinstance(message, ReportCounted):
                     self.state.reported_work.set_included(message.number)
                     self.state.quotas.acknowledge(message.spent)
-                self.configurations.take(message, link)
+                self.configuration_exchange.on_message(message, link)
                 if isinstance(message, FleetReport):
                     followed = True
                     self.backoff.record_success()
-                    self.last_order_ms = None
+                    self.predecessor_last_order_ms = None
                     apply_report(self.state, message)
-                    self.configurations.heard(message.version, link)
+                    self.configuration_exchange.on_version(message.version, link)
                     if not message.ordering:
                         return False
         except PeerLost as error:
@@ -262,11 +266,11 @@
             # the next coordinator is likely to be there before it isn't.
             self.state.on_coordinator_lost()
 
-    async def _prove(self, link: PeerLink, request: ProofRequest) -> None:
+    async def _answer_proof_request(self, link: PeerLink, request: ProofRequest) -> None:
         instance = self.state.settings.instance
         answer = ProofAnswer(instance, request.asked_ms, False, "", 0)
         with contextlib.suppress(StoreUnavailable, TimeoutError):
-            async with asyncio.timeout(RENEW_TIMEOUT_S):
+            async with asyncio.timeout(RENEWAL_TIMEOUT_S):
                 record = await self.state.dependencies.store.read_lease()
             holder, token = (record.holder, record.token) if record else ("", 0)
             answer = ProofAnswer(instance, request.asked_ms, True, holder, token)
@@ -274,12 +278,12 @@
 
     async def _contend(self, token: int) -> None:
         # A process that was only restarted takes the lease back without any wait.
-        wait_s = self._contend_after_s() + random.random() * CONTEND_JITTER_S
+        wait_s = self._contend_delay_s() + random.random() * CONTEND_JITTER_S
         wait_s += coordinatorcapacity.candidacy_delay_s(self.state.settings)
         end_s = asyncio.get_running_loop().time() + wait_s
         record = self.lease.record
         while (left_s := end_s - asyncio.get_running_loop().time()) > 0:
-            await asyncio.sleep(min(left_s, LEASE_LOOK_S))
+            await asyncio.sleep(min(left_s, LEASE_POLL_S))
             record = await self.state.dependencies.store.read_lease()
             if record is None or record.token != token:
                 break
@@ -287,35 +291,35 @@
         if record and record.token == token:
             await self._take_over()
 
-    def _contend_after_s(self) -> float:
+    def _contend_delay_s(self) -> float:
         """Return how long the last holder may take to come back before others contend."""
-        if self.last_order_ms is None or not self.stepped_down:
-            return CONTEND_AFTER_S
+        if self.predecessor_last_order_ms is None or not self.predecessor_stepped_down:
+            return CONTEND_DELAY_S
         # Its successor may not order sooner, so that nothing is lost by waiting for it so long.
-        first_ms = self.lease.first_order_after(self.last_order_ms)
+        first_ms = self.lease.first_order_after(self.predecessor_last_order_ms)
         return max(0.0, (first_ms - self.lease.clock.now_ms()) / 1000 - CONTEND_JITTER_S)
 
     async def _report_to(self, link: PeerLink) -> None:
         with contextlib.suppress(PeerLost):
             while True:
-                link.send(entry_report(self.state))
-                await self._next_report()
+                link.send(build_entry_report(self.state))
+                await self._wait_for_next_report()
 
-    async def _next_report(self) -> None:
-        await asyncio.sleep(REPORT_PAUSE_S)
+    async def _wait_for_next_report(self) -> None:
+        await asyncio.sleep(MIN_REPORT_INTERVAL_S)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(REPORT_EVERY_S):
+            async with asyncio.timeout(REPORT_INTERVAL_S):
                 await self.state.report_requested.wait()
         self.state.report_requested.clear()
 
-    async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_link(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         link = PeerLink(reader, writer)
         if self.coordinator is None:
-            await self._tell_last_order(link)
+            await self._send_last_order(link)
             return
         await self.coordinator.serve_member(link)
 
-    async def _tell_last_order(self, link: PeerLink) -> None:
+    async def _send_last_order(self, link: PeerLink) -> None:
         """Tell an entry that expects a coordinator here how long ago the last order was."""
         age_ms = self.lease.clock.now_ms() - max(self.started_ms, self.lease.last_order_ms)
         with contextlib.suppress(PeerLost):
--- a/packages/daemon/src/mimosaspur_daemon/direct/entryreport.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/entryreport.py
@@ -2,17 +2,17 @@
 
 from mimosaspur_daemon.direct.entrystate import EntryState
 from mimosaspur_daemon.direct.entrystate import UnreportedDemand
-from mimosaspur_daemon.direct.fleetreport import paces_told
+from mimosaspur_daemon.direct.fleetreport import pace_messages
 from mimosaspur_protocol.peermessages import AskedFor
 from mimosaspur_protocol.peermessages import AskedForAdapter
 from mimosaspur_protocol.peermessages import EntryReport
 from mimosaspur_protocol.peermessages import SpentOf
 from mimosaspur_protocol.peermessages import WorkAt
 
-NOTHING_ASKED = UnreportedDemand()
+NO_DEMAND = UnreportedDemand()
 
 
-def entry_report(state: EntryState) -> EntryReport:
+def build_entry_report(state: EntryState) -> EntryReport:
     """Return what the coordinator should know of an entry, and begin a new count of demand."""
     work = [
         WorkAt(
@@ -27,7 +27,7 @@
     ]
     asked = []
     for model in {*state.unreported_demand, *state.waiting}:
-        one = state.unreported_demand.get(model, NOTHING_ASKED)
+        one = state.unreported_demand.get(model, NO_DEMAND)
         asked.append(AskedFor(model, one.tokens, state.waiting.get(model, 0), one.objective_ms))
     state.unreported_demand.clear()
     unreachable = sorted(state.unreachable)
@@ -48,7 +48,7 @@
         waiting,
         unreachable,
         asked_adapters,
-        paces_told(state.fleet.paces.take_changes()),
+        pace_messages(state.fleet.paces.take_changes()),
         state.leaving,
         state.version(),
         [SpentOf(each.workspace, each.spent, each.refused) for each in spendings],
--- a/packages/daemon/src/mimosaspur_daemon/direct/fleetteller.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/fleetchanges.py
@@ -7,42 +7,44 @@
 
 import msgspec
 
-from mimosaspur_daemon.direct.enginedesk import EngineDesk
+from mimosaspur_daemon.direct.enginecontroller import EngineController
 from mimosaspur_daemon.direct.fleetreport import residents_of
-from mimosaspur_daemon.direct.storenews import StoreTeller
+from mimosaspur_daemon.direct.storechanges import StoreChanges
 from mimosaspur_protocol.peermessages import FleetReport
 from mimosaspur_protocol.peermessages import RemainingOf
 from mimosaspur_protocol.peermessages import Residents
 from mimosaspur_protocol.peermessages import WorkAt
 from mimosaspur_protocol.peermessages import encode_peer
 
-NOT_TOLD = -1
+NEVER_SENT = -1
 
 
 @dataclass(slots=True)
-class Informed:
+class SentState:
     """Hold up to where an entry was told what the others know."""
 
     # Whether it was told of the whole fleet, and since then of each change.
-    fleet: bool = False
+    fleet_sent: bool = False
     # The number of changes in the store up to which it was told.
-    store: int = NOT_TOLD
+    store_number: int = NEVER_SENT
 
 
-class FleetTeller:
+class FleetChanges:
     """Keep work and residents as they were last told, and say what has changed since."""
 
-    __slots__ = ("changed_residents", "changed_work", "expected", "residents", "work")
+    __slots__ = ("changed_residents", "changed_work", "expected_ms", "residents", "work")
 
     def __init__(self) -> None:
         self.work: Mapping[str, WorkAt] = {}
         self.residents: Mapping[str, Residents] = {}
         # Milliseconds until a model that is being loaded is expected.
-        self.expected: dict[str, int] = {}
+        self.expected_ms: dict[str, int] = {}
         self.changed_work: list[WorkAt] = []
         self.changed_residents: list[Residents] = []
 
-    def look(self, totals: Mapping[str, WorkAt] | None, desks: Collection[EngineDesk]) -> bool:
+    def update(
+        self, totals: Mapping[str, WorkAt] | None, desks: Collection[EngineController]
+    ) -> bool:
         """Take the fleet as it is now; tell whether anything has changed since the last look.
 
         Without sums of work, those of the last look still stand.
@@ -55,46 +57,50 @@
         self.changed_residents = [
             each for key, each in residents.items() if self.residents.get(key) != each
         ]
-        loads_changed = expected.keys() != self.expected.keys()
-        self.work, self.residents, self.expected = totals, residents, expected
+        loads_changed = expected.keys() != self.expected_ms.keys()
+        self.work, self.residents, self.expected_ms = totals, residents, expected
         return bool(self.changed_work or self.changed_residents or loads_changed)
 
 
 @dataclass(slots=True)
-class News:
+class ReportBuilder:
     """Put together and encode what is told in one pass, once for all who know the same."""
 
     # What all are told, without work and residents.
-    head: FleetReport
-    fleet: FleetTeller
+    base: FleetReport
+    fleet_changes: FleetChanges
     # None while others may not rely on what is known of the store here.
-    store: StoreTeller | None
+    store_changes: StoreChanges | None
     # All that is left of quotas, for whoever was told nothing yet.
-    quotas: list[RemainingOf]
+    all_quotas: list[RemainingOf]
     frames: dict[tuple[bool, int], bytes] = field(default_factory=dict)
 
-    def report(self, informed: Informed) -> FleetReport:
+    def report(self, informed: SentState) -> FleetReport:
         """Return what an entry has to hear."""
-        fleet = self.fleet
-        if informed.fleet:
-            work, residents, quotas = fleet.changed_work, fleet.changed_residents, self.head.quotas
+        fleet = self.fleet_changes
+        if informed.fleet_sent:
+            work, residents, quotas = fleet.changed_work, fleet.changed_residents, self.base.quotas
         else:
             work = [each for each in fleet.work.values() if each.requests]
             residents = list(fleet.residents.values())
-            quotas = self.quotas
-        store = self.store.news(informed.store) if self.store else None
+            quotas = self.all_quotas
+        store = (
+            self.store_changes.changes_since(informed.store_number) if self.store_changes else None
+        )
         return msgspec.structs.replace(
-            self.head, work=work, residents=residents, store=store, quotas=quotas
+            self.base, work=work, residents=residents, store=store, quotas=quotas
         )
 
-    def frame(self, informed: Informed) -> bytes:
+    def frame(self, informed: SentState) -> bytes:
         """Return the same as a frame."""
-        key = informed.fleet, informed.store
+        key = informed.fleet_sent, informed.store_number
         frame = self.frames.get(key)
         if frame is None:
             frame = self.frames[key] = encode_peer(self.report(informed))
         return frame
 
-    def after(self, informed: Informed) -> Informed:
+    def state_after(self, informed: SentState) -> SentState:
         """Return up to where an entry is told once it has got the report."""
-        return Informed(True, self.store.number if self.store else informed.store)
+        return SentState(
+            True, self.store_changes.change_number if self.store_changes else informed.store_number
+        )
--- a/packages/daemon/src/mimosaspur_daemon/direct/fleetreport.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/fleetreport.py
@@ -5,16 +5,16 @@
 
 from mimosaspur_coordination.modelpace import Pace
 from mimosaspur_coordination.quota.spending import Remaining
-from mimosaspur_daemon.direct.enginedesk import EngineDesk
+from mimosaspur_daemon.direct.enginecontroller import EngineController
 from mimosaspur_daemon.direct.entrystate import EntryState
-from mimosaspur_daemon.direct.storenews import apply_store_news
+from mimosaspur_daemon.direct.storechanges import apply_store_changes
 from mimosaspur_protocol.peermessages import FleetReport
 from mimosaspur_protocol.peermessages import PaceOf
 from mimosaspur_protocol.peermessages import Residents
 from mimosaspur_protocol.peermessages import WorkAt
 
 
-class _Total:
+class _WorkTotal:
     """Add up the work at one target."""
 
     __slots__ = ("held_tokens", "requests", "unread")
@@ -36,12 +36,12 @@
     reports: Iterable[Mapping[str, WorkAt]], targets: Iterable[str]
 ) -> dict[str, WorkAt]:
     """Sum up the entries' work by target; what has ended at a target is told as none."""
-    totals = {target: _Total() for target in targets}
+    totals = {target: _WorkTotal() for target in targets}
     for work_at in reports:
         for target, work in work_at.items():
             total = totals.get(target)
             if total is None:
-                total = totals[target] = _Total()
+                total = totals[target] = _WorkTotal()
             total.add(work)
     return {
         target: WorkAt(target, total.requests, total.unread, total.held_tokens, {})
@@ -49,15 +49,15 @@
     }
 
 
-def residents_of(desk: EngineDesk) -> Residents:
+def residents_of(desk: EngineController) -> Residents:
     """Return what an engine holds, as entries are told it."""
     if desk.lost():
         return Residents(desk.record.identity, {}, [])
     models = {model: sorted(adapters) for model, adapters in desk.residents.items()}
-    return Residents(desk.record.identity, models, sorted(desk.closing))
+    return Residents(desk.record.identity, models, sorted(desk.unloading))
 
 
-def paces_told(paces: Mapping[str, Pace]) -> list[PaceOf]:
+def pace_messages(paces: Mapping[str, Pace]) -> list[PaceOf]:
     """Return models' paces as they are told."""
     return [PaceOf(model, pace.factor, pace.measurements) for model, pace in paces.items()]
 
@@ -75,7 +75,7 @@
     state.quotas.apply_update(remaining, entries=report.entries)
     state.quotas_received.set()
     if report.store:
-        apply_store_news(state, report.store)
+        apply_store_changes(state, report.store)
     for target, others in state.reported_work.apply_totals(report.work).items():
         view = state.fleet.targets.get(target)
         if view:
--- a/packages/daemon/src/mimosaspur_daemon/direct/members.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/members.py
@@ -13,16 +13,16 @@
 from mimosaspur_coordination.modelpace import Pace
 from mimosaspur_coordination.modelpace import SharedPaces
 from mimosaspur_coordination.orderlease import OrderLease
-from mimosaspur_daemon.direct.enginedesk import EngineDesk
+from mimosaspur_daemon.direct.enginecontroller import EngineController
 from mimosaspur_daemon.direct.entrystate import EntryState
+from mimosaspur_daemon.direct.fleetchanges import FleetChanges
+from mimosaspur_daemon.direct.fleetchanges import ReportBuilder
+from mimosaspur_daemon.direct.fleetchanges import SentState
 from mimosaspur_daemon.direct.fleetreport import apply_report
-from mimosaspur_daemon.direct.fleetreport import paces_told
+from mimosaspur_daemon.direct.fleetreport import pace_messages
 from mimosaspur_daemon.direct.fleetreport import total_work
-from mimosaspur_daemon.direct.fleetteller import FleetTeller
-from mimosaspur_daemon.direct.fleetteller import Informed
-from mimosaspur_daemon.direct.fleetteller import News
-from mimosaspur_daemon.direct.quotateller import QuotaTeller
-from mimosaspur_daemon.direct.storenews import StoreTeller
+from mimosaspur_daemon.direct.quotaaccounting import QuotaAccounting
+from mimosaspur_daemon.direct.storechanges import StoreChanges
 from mimosaspur_protocol.peermessages import EntryReport
 from mimosaspur_protocol.peermessages import FleetReport
 from mimosaspur_protocol.peermessages import PaceOf
@@ -36,9 +36,9 @@
 from mimosaspur_transport.peerlink import PeerLost
 
 # Entries hear at least so often, so that they notice when the coordinator is gone.
-HEARTBEAT_MS = 250
+HEARTBEAT_INTERVAL_MS = 250
 # Paces change slowly once they are known.
-PACES_EVERY_MS = 1_000
+PACES_INTERVAL_MS = 1_000
 
 
 @dataclass(slots=True)
@@ -46,15 +46,15 @@
     """Hold what one entry last told, and what it was last told."""
 
     # The number of its last report, and of the one that the sums of work count in.
-    number: int = 0
-    summed: int = 0
+    report_number: int = 0
+    summed_number: int = 0
     work: dict[str, WorkAt] = field(default_factory=dict)
     waiting: dict[str, int] = field(default_factory=dict)
-    adapters: list[tuple[str, str]] = field(default_factory=list)
-    heard_ms: int = 0
+    waiting_adapters: list[tuple[str, str]] = field(default_factory=list)
+    last_report_ms: int = 0
     leaving: bool = False
     link: PeerLink | None = None
-    informed: Informed = field(default_factory=Informed)
+    sent_state: SentState = field(default_factory=SentState)
 
 
 class Members:
@@ -65,28 +65,28 @@
         self.members: dict[str, Member] = {}
         self.sharers = sharers
         self.paces = SharedPaces()
-        self.paces_told_ms = 0
-        self.store = StoreTeller(state)
-        self.fleet = FleetTeller()
-        self.quotas = QuotaTeller(state)
-        self.told_ms = 0
+        self.paces_sent_ms = 0
+        self.store_changes = StoreChanges(state)
+        self.fleet_changes = FleetChanges()
+        self.quotas = QuotaAccounting(state)
+        self.last_sent_ms = 0
         # When the entries' work is summed up and told again.
         self.work_due_ms = 0
 
-    def hear(self, report: EntryReport, member: Member) -> None:
+    def apply_report(self, report: EntryReport, member: Member) -> None:
         """Take an entry's work, what waits there, and what it has learnt."""
-        member.heard_ms = self.state.clock.now_ms()
-        first = not member.number
-        member.number = report.number
+        member.last_report_ms = self.state.clock.now_ms()
+        first = not member.report_number
+        member.report_number = report.number
         member.work = {work.target: work for work in report.work}
         member.waiting = {asked.model: asked.waiting for asked in report.asked if asked.waiting}
-        member.adapters = [(model, adapter) for model, adapter in report.adapters]
+        member.waiting_adapters = [(model, adapter) for model, adapter in report.adapters]
         member.leaving = report.leaving
-        self.quotas.hear(report, first=first)
+        self.quotas.apply_report(report, first=first)
         for told in report.paces:
             self.paces.add_report(told.model, Pace(told.factor, told.measurements))
 
-    def own(self, instance: str) -> Member:
+    def local_member(self, instance: str) -> Member:
         """Return the member that stands for this instance's own entry."""
         member = self.members.get(instance)
         if member is None or member.link:
@@ -99,7 +99,7 @@
         self.sharers.on_connect(instance)
         return member
 
-    def forget(self, member: Member) -> None:
+    def remove(self, member: Member) -> None:
         """Drop an entry whose link has ended."""
         for instance, known in list(self.members.items()):
             if known is member:
@@ -107,9 +107,11 @@
                 del self.members[instance]
                 self.sharers.on_disconnect(instance)
                 if not member.leaving:
-                    self.quotas.lose(instance, entries=entries, heard_ms=member.heard_ms)
+                    self.quotas.on_entry_lost(
+                        instance, entries=entries, last_report_ms=member.last_report_ms
+                    )
 
-    def linked(self) -> set[str]:
+    def linked_instances(self) -> set[str]:
         """Return the other entries."""
         return {instance for instance, member in self.members.items() if member.link}
 
@@ -129,7 +131,7 @@
 
     def waiting_adapters(self) -> set[tuple[str, str]]:
         """Return the adapters that requests wait for, with their models."""
-        return {pair for member in self.members.values() for pair in member.adapters}
+        return {pair for member in self.members.values() for pair in member.waiting_adapters}
 
     def running(self) -> dict[str, dict[str, int]]:
         """Return the requests that run at each target, by model, over all entries."""
@@ -141,44 +143,46 @@
                     counts[model] = counts.get(model, 0) + count
         return running
 
-    def send(self, message: StepDown | ProofRequest, *, most: int | None = None) -> None:
+    def send(self, message: StepDown | ProofRequest, *, limit: int | None = None) -> None:
         """Send a message to the other entries, or to some that are drawn."""
         links = [member.link for member in self.members.values() if member.link]
-        if most is not None and most < len(links):
-            links = random.sample(links, most)
+        if limit is not None and limit < len(links):
+            links = random.sample(links, limit)
         for link in links:
             with contextlib.suppress(PeerLost):
                 link.send(message)
 
-    def tell(self, desks: Collection[EngineDesk], lease: OrderLease) -> None:
+    def send_updates(self, desks: Collection[EngineController], lease: OrderLease) -> None:
         """Tell each member what has changed, and that the coordinator is there."""
         now_ms = self.state.clock.now_ms()
         work_due = now_ms >= self.work_due_ms
-        changed = self.fleet.look(self._sums() if work_due else None, desks)
-        paces = self._paces_to_tell(now_ms)
-        quotas = self.quotas.news(len(self.members))
-        head = self._head(lease, paces, quotas)
-        news = News(head, self.fleet, self._store_to_tell(), self.quotas.all())
-        if changed or paces or quotas or now_ms - self.told_ms >= HEARTBEAT_MS:
-            self.told_ms = now_ms
+        changed = self.fleet_changes.update(self._sum_work() if work_due else None, desks)
+        paces = self._due_paces(now_ms)
+        quotas = self.quotas.changed_remaining(len(self.members))
+        head = self._base_report(lease, paces, quotas)
+        news = ReportBuilder(
+            head, self.fleet_changes, self._shareable_store_changes(), self.quotas.all_remaining()
+        )
+        if changed or paces or quotas or now_ms - self.last_sent_ms >= HEARTBEAT_INTERVAL_MS:
+            self.last_sent_ms = now_ms
             hearers = list(self.members.values())
         else:
-            hearers = [each for each in self.members.values() if self._lacks(each, news)]
-        sent_bytes = sum(self._tell_member(member, news) for member in hearers)
+            hearers = [each for each in self.members.values() if self._needs_update(each, news)]
+        sent_bytes = sum(self._send_update(member, news) for member in hearers)
         if work_due:
             pause_s = update_pause_s(
                 self.state.settings, sent_bytes=sent_bytes, recipients=len(hearers)
             )
             self.work_due_ms = now_ms + round(pause_s * 1000)
 
-    def _sums(self) -> dict[str, WorkAt]:
+    def _sum_work(self) -> dict[str, WorkAt]:
         """Sum up the entries' work as they last reported it."""
         for member in self.members.values():
-            member.summed = member.number
+            member.summed_number = member.report_number
         work = (member.work for member in self.members.values())
         return total_work(work, self.state.fleet.targets)
 
-    def _head(
+    def _base_report(
         self, lease: OrderLease, paces: list[PaceOf], quotas: list[RemainingOf]
     ) -> FleetReport:
         return FleetReport(
@@ -187,7 +191,7 @@
             entries=len(self.members),
             work=[],
             residents=[],
-            expected=self.fleet.expected,
+            expected=self.fleet_changes.expected_ms,
             paces=paces,
             staying=sum(not each.leaving for each in self.members.values()),
             version=self.state.version(),
@@ -195,42 +199,46 @@
             sharers=self.sharers.sharer_count() if lease.is_confirmed() else 0,
         )
 
-    def _store_to_tell(self) -> StoreTeller | None:
-        self.store.look()
-        return self.store if self.store.fresh() else None
+    def _shareable_store_changes(self) -> StoreChanges | None:
+        self.store_changes.update()
+        return self.store_changes if self.store_changes.shareable() else None
 
-    def _lacks(self, member: Member, news: News) -> bool:
+    def _needs_update(self, member: Member, news: ReportBuilder) -> bool:
         """Tell whether a member doesn't know yet what the others have been told before."""
-        if not member.informed.fleet:
+        if not member.sent_state.fleet_sent:
             return True
-        return bool(member.link and news.store and member.informed.store != news.store.number)
+        return bool(
+            member.link
+            and news.store_changes
+            and member.sent_state.store_number != news.store_changes.change_number
+        )
 
-    def _paces_to_tell(self, now_ms: int) -> list[PaceOf]:
-        if now_ms - self.paces_told_ms < PACES_EVERY_MS:
+    def _due_paces(self, now_ms: int) -> list[PaceOf]:
+        if now_ms - self.paces_sent_ms < PACES_INTERVAL_MS:
             return []
-        self.paces_told_ms = now_ms
+        self.paces_sent_ms = now_ms
         news = self.paces.take_changes()
         if news:
             factors = {model: round(pace.factor, 2) for model, pace in news.items()}
             self.state.log.write("paces", factors=factors)
-        return paces_told(news)
+        return pace_messages(news)
 
-    def _tell_member(self, member: Member, news: News) -> int:
+    def _send_update(self, member: Member, news: ReportBuilder) -> int:
         """Tell one member; return the bytes that it took on a link."""
         if member.link is None:
             # This instance reads the store for itself.
-            self.state.reported_work.set_included(member.summed)
-            self.state.quotas.acknowledge(member.number)
-            apply_report(self.state, replace(news.report(member.informed), store=None))
-            member.informed = news.after(member.informed)
+            self.state.reported_work.set_included(member.summed_number)
+            self.state.quotas.acknowledge(member.report_number)
+            apply_report(self.state, replace(news.report(member.sent_state), store=None))
+            member.sent_state = news.state_after(member.sent_state)
             return 0
-        frames = encode_peer(ReportCounted(member.summed, member.number)) + news.frame(
-            member.informed
-        )
+        frames = encode_peer(
+            ReportCounted(member.summed_number, member.report_number)
+        ) + news.frame(member.sent_state)
         try:
             member.link.send_encoded(frames)
         except PeerLost:
             member.link.close()
             return 0
-        member.informed = news.after(member.informed)
+        member.sent_state = news.state_after(member.sent_state)
         return len(frames)
--- a/packages/daemon/src/mimosaspur_daemon/direct/quotateller.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/quotaaccounting.py
@@ -10,45 +10,52 @@
 from mimosaspur_protocol.peermessages import RemainingOf
 
 # By then all entries follow a new coordinator that reach it.
-FOLLOWED_AFTER_MS = 1_500
+FOLLOW_GRACE_MS = 1_500
 
 
-class QuotaTeller:
+class QuotaAccounting:
     """Hold the quotas of the configuration in force, for as long as this instance coordinates."""
 
-    __slots__ = ("began_ms", "expected_entries", "ledger", "state", "unheard_since_ms", "version")
+    __slots__ = (
+        "started_ms",
+        "expected_entries",
+        "ledger",
+        "state",
+        "predecessor_report_ms",
+        "version",
+    )
 
     def __init__(self, state: EntryState) -> None:
         self.state = state
         self.ledger = QuotaLedger(state.settings.quotas, clock=state.clock)
         # The version of the configuration whose quotas are counted.
         self.version = 0
-        self.began_ms = state.clock.now_ms()
+        self.started_ms = state.clock.now_ms()
         limiter = state.quotas
         # How many entries the last coordinator told of, until it is known who is missing.
         self.expected_entries = limiter.entries if limiter.has_update() else 0
-        self.unheard_since_ms = limiter.last_update_ms
+        self.predecessor_report_ms = limiter.last_update_ms
 
-    def hear(self, report: EntryReport, *, first: bool) -> None:
+    def apply_report(self, report: EntryReport, *, first: bool) -> None:
         """Take what an entry has spent; its first report is of the time before."""
         self._configure()
         spendings = [Spending(each.workspace, each.spent, each.refused) for each in report.quotas]
         self.ledger.record_spending(report.instance, spendings, first=first)
 
-    def lose(self, instance: str, *, entries: int, heard_ms: int) -> None:
+    def on_entry_lost(self, instance: str, *, entries: int, last_report_ms: int) -> None:
         """Take note that an entry isn't heard any more, which may go on."""
-        silent_ms = self.state.clock.now_ms() - heard_ms
+        silent_ms = self.state.clock.now_ms() - last_report_ms
         self.ledger.on_disconnect(instance, entries=entries, silent_ms=silent_ms)
 
-    def news(self, members: int) -> list[RemainingOf]:
+    def changed_remaining(self, members: int) -> list[RemainingOf]:
         """Return what is left where entries expect another rest."""
         self._configure()
-        self._miss_entries(members)
-        return _told(self.ledger.take_updates())
+        self._reserve_for_missing(members)
+        return _to_messages(self.ledger.take_updates())
 
-    def all(self) -> list[RemainingOf]:
+    def all_remaining(self) -> list[RemainingOf]:
         """Return what is left of all quotas."""
-        return _told(self.ledger.snapshot())
+        return _to_messages(self.ledger.snapshot())
 
     def _configure(self) -> None:
         configuration = self.state.configuration
@@ -60,20 +67,20 @@
             configuration.workspaces or (), limiter.accounts, last_update_ms=limiter.last_update_ms
         )
 
-    def _miss_entries(self, members: int) -> None:
+    def _reserve_for_missing(self, members: int) -> None:
         """Set aside quotas for entries that followed the last coordinator and don't follow here."""
         now_ms = self.state.clock.now_ms()
-        if not self.expected_entries or now_ms - self.began_ms < FOLLOWED_AFTER_MS:
+        if not self.expected_entries or now_ms - self.started_ms < FOLLOW_GRACE_MS:
             return
         missing = self.expected_entries - members
         if missing > 0:
             window_ms = self.state.settings.quotas.window_ms
-            silent_ms = min(window_ms, now_ms - self.unheard_since_ms)
+            silent_ms = min(window_ms, now_ms - self.predecessor_report_ms)
             self.ledger.reserve_missing(missing, entries=self.expected_entries, silent_ms=silent_ms)
         self.expected_entries = 0
 
 
-def _told(remaining: Iterable[Remaining]) -> list[RemainingOf]:
+def _to_messages(remaining: Iterable[Remaining]) -> list[RemainingOf]:
     # Fractions of a token are nobody's concern.
     return [
         RemainingOf(each.workspace, round(each.content), round(each.asked_per_s))
--- a/packages/daemon/src/mimosaspur_daemon/direct/storenews.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/storechanges.py
@@ -11,62 +11,62 @@
 CONFIGURATION = "configuration"
 
 
-class StoreTeller:
+class StoreChanges:
     """Keep the targets as they were last told, and say what has changed since."""
 
-    __slots__ = ("changed", "gone", "number", "state", "targets")
+    __slots__ = ("changed", "removed", "change_number", "state", "targets")
 
     def __init__(self, state: EntryState) -> None:
         self.state = state
         self.targets: dict[str, TargetTold] = {}
         # Counts the changes; those of the last number are kept.
-        self.number = 0
+        self.change_number = 0
         self.changed: list[TargetTold] = []
-        self.gone: list[str] = []
+        self.removed: list[str] = []
 
-    def look(self) -> None:
+    def update(self) -> None:
         """Find what has changed since the last look."""
         views = self.state.fleet.targets
-        targets = {identity: _told(view.record) for identity, view in views.items()}
+        targets = {identity: _to_message(view.record) for identity, view in views.items()}
         changed = [each for name, each in targets.items() if self.targets.get(name) != each]
         gone = [name for name in self.targets if name not in targets]
         if changed or gone:
-            self.targets, self.changed, self.gone = targets, changed, gone
-            self.number += 1
+            self.targets, self.changed, self.removed = targets, changed, gone
+            self.change_number += 1
 
-    def fresh(self) -> bool:
+    def shareable(self) -> bool:
         """Tell whether others may rely on what is told here."""
         on = self.state.uses(Mechanism.STORE_READER)
         return on and self.state.freshness.may_share((TARGETS, CONFIGURATION))
 
-    def news(self, known: int) -> StoreNews:
+    def changes_since(self, known: int) -> StoreNews:
         """Return what somebody has to hear who knows all up to a number."""
-        whole = known < self.number - 1
-        current = known == self.number
+        whole = known < self.change_number - 1
+        current = known == self.change_number
         return StoreNews(
             age_ms=self.state.freshness.age_ms((TARGETS, CONFIGURATION)),
             revision=self.state.fleet.revision,
             whole=whole,
             targets=list(self.targets.values()) if whole else [] if current else self.changed,
-            gone=[] if whole or current else self.gone,
+            gone=[] if whole or current else self.removed,
         )
 
 
-def apply_store_news(state: EntryState, news: StoreNews) -> None:
+def apply_store_changes(state: EntryState, news: StoreNews) -> None:
     """Take the coordinator's word on the store, unless this entry knows better."""
     if news.revision < state.fleet.revision:
         return
     state.log.counters.observe("store_news_age_ms", news.age_ms)
     state.freshness.confirm_by_coordinator(age_ms=news.age_ms)
     state.fleet.revision = news.revision
-    records = {told.identity: _record(told) for told in news.targets}
+    records = {told.identity: _to_record(told) for told in news.targets}
     if news.whole:
         state.on_targets_changed(state.fleet.replace(records))
     elif records or news.gone:
         state.on_targets_changed(state.fleet.update(records.values(), news.gone))
 
 
-def _told(record: TargetRecord) -> TargetTold:
+def _to_message(record: TargetRecord) -> TargetTold:
     return TargetTold(
         record.identity,
         record.service,
@@ -78,7 +78,7 @@
     )
 
 
-def _record(told: TargetTold) -> TargetRecord:
+def _to_record(told: TargetTold) -> TargetRecord:
     return TargetRecord(
         identity=told.identity,
         service=told.service,
--- a/packages/daemon/src/mimosaspur_daemon/direct/workspacequota.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/workspacequota.py
@@ -10,7 +10,7 @@
 from mimosaspur_daemon.direct.entrystate import EntryState
 from mimosaspur_daemon.direct.refusal import RequestFailed
 from mimosaspur_daemon.direct.requesthandler import RequestHandler
-from mimosaspur_daemon.direct.storenews import CONFIGURATION
+from mimosaspur_daemon.direct.storechanges import CONFIGURATION
 from mimosaspur_state.codes import ResultCode
 from mimosaspur_state.routes import Route
 from mimosaspur_state.workspaces import Quota
