--- a/features/steps/scale_steps.py
+++ b/features/steps/scale_steps.py
@@ -102,7 +102,7 @@
 def check_next(context: Context, next_ms: int) -> None:
     first_ms = context.last_ms + STEP_MS if context.was_read else 0
     times = range(first_ms, MAX_SEARCHED_MS, STEP_MS)
-    found = next(now_ms for now_ms in times if context.pace.is_due(now_ms, context.unresolved_targets))
+    found = next(now_ms for now_ms in times if context.pace.is_due(now_ms, context.sought))
     assert found == next_ms, f"it is read at {found} ms"
 
 
