--- a/features/harness/callers_world.py
+++ b/features/harness/callers_world.py
@@ -35,7 +35,7 @@
 NONE = "(none)"
 LATE = "the condition did not come true in time"
 
-wait_for = partial(control.wait_for, what=LATE, bound_s=BOUND_S, poll_s=POLL_S)
+wait_for = partial(control.wait_for, what=LATE, timeout_s=BOUND_S, poll_interval_s=POLL_S)
 
 
 @dataclass(slots=True)
--- a/features/harness/memory_world.py
+++ b/features/harness/memory_world.py
@@ -45,7 +45,7 @@
 RATE = 1000.0
 
 
-wait_for = partial(control.wait_for, bound_s=BOUND_S, poll_s=POLL_S)
+wait_for = partial(control.wait_for, timeout_s=BOUND_S, poll_interval_s=POLL_S)
 
 
 def stays(condition: Callable[[], bool], ms: int, what: str) -> None:
--- a/features/harness/reach_world.py
+++ b/features/harness/reach_world.py
@@ -8,9 +8,9 @@
 
 from harness.caller import chat_call
 from harness.control import call
+from harness.repeater import Repeater
 from harness.site import Site
 from harness.site import model
-from harness.steady import Steady
 from mimosaspur_standins.answers import expected_answer
 
 SAMPLE_TOKENS = 2
@@ -64,7 +64,7 @@
     site: Site
     entry: str
     may_be: dict[str, set[str]]
-    steadies: list[Steady] = field(default_factory=list)
+    steadies: list[Repeater] = field(default_factory=list)
     asked: dict[str, int] = field(default_factory=dict)
     failures: list[str] = field(default_factory=list)
     began: float = 0.0
@@ -75,12 +75,12 @@
         self.asked = dict.fromkeys(self.may_be, 0)
         for name in self.may_be:
             ask = partial(self._ask, name)
-            self.steadies.append(Steady(ask, pause_s=PAUSE_S, end_s=LONGEST_CALL_S))
+            self.steadies.append(Repeater(ask, interval_s=PAUSE_S, stop_timeout_s=LONGEST_CALL_S))
 
     def stop(self) -> None:
         """End the samples; return when the last answer is in."""
         for steady in self.steadies:
-            steady.over.set()
+            steady.stop_requested.set()
         for steady in self.steadies:
             steady.stop()
 
--- a/features/steps/atmostonce_steps.py
+++ b/features/steps/atmostonce_steps.py
@@ -20,10 +20,10 @@
 from harness.control import UNTIL_CLEARED
 from harness.control import add_fault
 from harness.control import clear_faults
-from harness.control import struck
+from harness.control import injected_fault_count
 from harness.control import wait_for
-from harness.site import begin_site
-from harness.tables import table_of
+from harness.site import start_scenario_site
+from harness.tables import table_rows
 
 CLAIMS = "PUT /objects/claims"
 SLOW_MS = 600
@@ -42,7 +42,7 @@
 
 def start(context: Context, *, service_relay: bool) -> None:
     """Start the site; a relay can't say that nothing listens behind it."""
-    site = begin_site(context)
+    site = start_scenario_site(context)
     context.desk = Desk(site)
     for name in TARGETS:
         work = ("--work-ms", str(WORK_MS))
@@ -51,7 +51,7 @@
         )
     for name in ENTRIES:
         site.entry(name, relay=True)
-    site.await_targets()
+    site.wait_for_targets()
     site.roll("first", [], (SERVICE,))
     for name in ENTRIES:
         wait_for(partial(_serves, context.desk, name), f"{name} reaches {SERVICE}")
@@ -102,7 +102,7 @@
         booking.wait()
     wait_for(lambda: _past_deadline(desk), "the deadline has passed")
     for name in TARGETS:
-        desk.site.go_on(name)
+        desk.site.resume(name)
 
 
 def _past_deadline(desk: Desk) -> bool:
@@ -167,7 +167,7 @@
 @then("bookings with a key and without one end so under each fault:")
 def check_faults(context: Context) -> None:
     wrong = []
-    for number, row in enumerate(table_of(context)):
+    for number, row in enumerate(table_rows(context)):
         try:
             _check_fault(context.desk, f"{number}", row["when"], row["fault"], row["told"])
         except AssertionError as error:
@@ -191,7 +191,7 @@
         assert told_of(reply) == told, (booking.body, told_of(reply), reply.status, reply.body)
         desk.check_told(booking)
     for name in desk.living_targets():
-        desk.site.go_on(name)
+        desk.site.resume(name)
     # Whatever is still in flight must not make a lie of what was told.
     desk.await_end()
     for booking in pair:
@@ -205,7 +205,7 @@
     for name in TARGETS:
         if not desk.lives(name):
             site.restart(name)
-        site.go_on(name)
+        site.resume(name)
     desk.start_services()
     clear_faults(site.api)
     for name in desk.site.services:
@@ -228,4 +228,4 @@
 @then("the services were called {count:d} times")
 def check_calls(context: Context, count: int) -> None:
     services = context.desk.site.services.values()
-    assert sum(struck(started.address) for started in services) == count
+    assert sum(injected_fault_count(started.address) for started in services) == count
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -11,7 +11,7 @@
 from harness.control import add_fault
 from harness.control import call
 from harness.control import clear_faults
-from harness.control import struck
+from harness.control import injected_fault_count
 from harness.control import wait_for
 from harness.reach_world import Sampler
 from harness.reach_world import bundle_of
@@ -21,7 +21,7 @@
 from harness.reach_world import rolled
 from harness.site import REGION
 from harness.site import Site
-from harness.site import begin_site
+from harness.site import start_scenario_site
 from mimosaspur_state import keys
 
 SLOW_MS = 800
@@ -33,17 +33,17 @@
 
 @given('a platform site with two entries that serves "{bundle}"')
 def start_platform_site(context: Context, bundle: str) -> None:
-    site = begin_site(context)
+    site = start_scenario_site(context)
     for number in range(2):
         site.model_target(f"model-{number}")
     for number in range(2):
         site.entry(f"entry-{number}")
-    site.await_targets()
+    site.wait_for_targets()
     site.roll("first", bundle_of(bundle))
     context.bundle = bundle
     context.names = names_of(bundle)
     for name in ("entry-0", "entry-1"):
-        site.await_served(name, *context.names)
+        site.wait_until_served(name, *context.names)
     wait_for(partial(rolled, site, bundle), "the first bundle's replicas")
 
 
@@ -52,7 +52,7 @@
     samplers = _sample_all(context, context.bundle)
     add_fault(context.site.api, fault)
     time.sleep(seconds)
-    assert struck(context.site.api) > 0
+    assert injected_fault_count(context.site.api) > 0
     clear_faults(context.site.api)
     _stop_all(context, samplers)
 
@@ -69,7 +69,7 @@
     site, rolled_at = context.site, time.monotonic()
     # Asking the records would be slow too, so the engines alone tell when it is done.
     wanted = set(residents_of(bundle).values())
-    wait_for(lambda: _resident(site) == wanted, "the roll in a slow API", bound_s=30)
+    wait_for(lambda: _resident(site) == wanted, "the roll in a slow API", timeout_s=30)
     print(f"MEASURED slow roll done after {time.monotonic() - rolled_at:.1f} s")
     _stop_all(context, samplers)
 
@@ -92,7 +92,7 @@
 def check_rolled(context: Context, bound: int) -> None:
     site = context.site
     held = partial(rolled, site, context.bundle)
-    wait_for(held, f"{context.bundle}; {_resident(site)}", bound_s=bound)
+    wait_for(held, f"{context.bundle}; {_resident(site)}", timeout_s=bound)
     print(f"MEASURED rolled after {time.monotonic() - context.rolled_at:.1f} s")
 
 
@@ -100,7 +100,7 @@
 def check_holds(context: Context, bundle: str, bound: int) -> None:
     running = {name: it for name, it in context.site.engines.items() if it.process.poll() is None}
     context.site.engines = running
-    wait_for(partial(rolled, context.site, bundle), bundle, bound_s=bound)
+    wait_for(partial(rolled, context.site, bundle), bundle, timeout_s=bound)
 
 
 @when('the platform\'s API answers 429 to "{calls}" for {seconds:d} s')
@@ -130,8 +130,8 @@
         site.kill(name)
         site.restart(name)
     for name in ("entry-0", "entry-1"):
-        site.await_served(name, *context.names)
-    wait_for(lambda: _planning(site) in site.daemons, "an entry plans", bound_s=15)
+        site.wait_until_served(name, *context.names)
+    wait_for(lambda: _planning(site) in site.daemons, "an entry plans", timeout_s=15)
 
 
 @when("the platform site is idle for {seconds:d} s")
@@ -139,7 +139,7 @@
     site = context.site
     # The lease that a killed entry held runs out first; the new holder lists before it watches.
     for _ in range(2):
-        wait_for(partial(_beat_after, site, _beat(site)), "a beat of the planner", bound_s=20)
+        wait_for(partial(_beat_after, site, _beat(site)), "a beat of the planner", timeout_s=20)
     context.planning = _planning(site)
     _count(context, seconds)
 
@@ -162,7 +162,7 @@
     context.former = _planning(site)
     add_fault(site.api, "late", match="PUT /objects/placement", count=1, delay_ms=LATE_MS)
     roll_platform(context, bundle)
-    wait_for(lambda: struck(site.api) == 1, "a write of the planning entry")
+    wait_for(lambda: injected_fault_count(site.api) == 1, "a write of the planning entry")
     site.pause(context.former)
     context.lost_at = time.monotonic()
 
@@ -192,14 +192,14 @@
 @then("another entry plans within {bound:d} s")
 def check_successor(context: Context, bound: int) -> None:
     site = context.site
-    wait_for(lambda: _planning(site) != context.former, "another plans", bound_s=bound)
+    wait_for(lambda: _planning(site) != context.former, "another plans", timeout_s=bound)
     print(f"MEASURED another plans after {time.monotonic() - context.lost_at:.1f} s")
 
 
 @when("the planning entry that was paused goes on")
 def resume_planning(context: Context) -> None:
     context.versions = _versions(context)
-    context.site.go_on(context.former)
+    context.site.resume(context.former)
 
 
 @then("its late writes changed nothing and each resident was loaded once")
