--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Give each scenario its own processes and end them after it."""
+"""Start the process manager of each scenario and stop its processes afterwards."""
 
 from behave.model import Scenario
 from behave.runner import Context
@@ -9,10 +9,10 @@
 
 
 def before_scenario(context: Context, scenario: Scenario) -> None:
-    """Prepare the scenario's processes."""
+    """Create the scenario's process manager."""
     context.processes = Processes(announce_s=ANNOUNCE_TIMEOUT_S)
 
 
 def after_scenario(context: Context, scenario: Scenario) -> None:
-    """End the scenario's processes."""
+    """Stop the scenario's processes."""
     context.processes.close()
--- a/features/harness/__init__.py
+++ b/features/harness/__init__.py
@@ -1,1 +1,1 @@
-"""Share what the features' steps need."""
+"""Provide shared helpers for the step files."""
--- a/features/harness/control.py
+++ b/features/harness/control.py
@@ -1,4 +1,4 @@
-"""Ask stand-ins, order their faults, and wait on conditions."""
+"""Call stand-ins, inject faults and wait for conditions."""
 
 import time
 from collections.abc import Callable
@@ -24,17 +24,17 @@
     timeout_s: float = WAIT_TIMEOUT_S,
     poll_interval_s: float = POLL_INTERVAL_S,
 ) -> None:
-    """Wait on a condition within a bound; fail naming it."""
-    end = time.monotonic() + timeout_s
+    """Wait until a condition holds; raise AssertionError after `timeout_s`."""
+    deadline = time.monotonic() + timeout_s
     while not condition():
-        if time.monotonic() > end:
-            raise AssertionError(f"not within {timeout_s} s: {what}")
+        if time.monotonic() > deadline:
+            raise AssertionError(f"timed out after {timeout_s} s waiting for: {what}")
         time.sleep(poll_interval_s)
 
 
-def run_concurrently(*acts: Callable[[], None]) -> None:
-    """Run acts in threads of their own, begun together, until the last has ended."""
-    threads = [Thread(target=act) for act in acts]
+def run_concurrently(*actions: Callable[[], None]) -> None:
+    """Run actions concurrently in threads and wait for all of them."""
+    threads = [Thread(target=action) for action in actions]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -42,15 +42,15 @@
 
 
 def add_fault(address: str, kind: str, **fault: Any) -> None:
-    """Order a fault of a stand-in."""
+    """Add a fault to a stand-in."""
     call(address, "POST", "/faults", {"kind": kind, **fault})
 
 
 def clear_faults(address: str) -> None:
-    """End all faults of a stand-in."""
+    """Remove all faults of a stand-in."""
     call(address, "DELETE", "/faults")
 
 
 def injected_fault_count(address: str) -> int:
-    """Return how often the faults of a stand-in struck."""
+    """Return how many times a stand-in has injected its current faults."""
     return sum(fault["struck"] for fault in call(address, "GET", "/faults")["faults"])
--- a/features/harness/loop.py
+++ b/features/harness/loop.py
@@ -1,4 +1,4 @@
-"""Run coroutines of a scenario on one event loop."""
+"""Run the coroutines of a scenario on one event loop."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -13,7 +13,7 @@
 
 
 def run(context: Context, work: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine on the scenario's event loop."""
+    """Run a coroutine on the scenario's event loop, with a timeout."""
     runner = getattr(context, "async_runner", None)
     if runner is None:
         runner = context.async_runner = asyncio.Runner()
--- a/features/harness/repeater.py
+++ b/features/harness/repeater.py
@@ -1,4 +1,4 @@
-"""Repeat an act in a thread while something happens to a site."""
+"""Repeat an action in a background thread."""
 
 from collections.abc import Callable
 from threading import Event
@@ -9,7 +9,7 @@
 
 
 class Repeater:
-    """Repeat an act until stopped; stop raises what it raised."""
+    """Repeat an action until stopped; `stop` raises if the action failed."""
 
     def __init__(
         self,
@@ -27,16 +27,16 @@
         self.thread.start()
 
     def stop(self) -> None:
-        """End after the act under way."""
+        """Stop after the current call; raise AssertionError if an action failed."""
         self.stop_requested.set()
         self.thread.join(self.stop_timeout_s)
-        assert not self.thread.is_alive(), "what is repeated does not end"
+        assert not self.thread.is_alive(), "the repeated action did not end in time"
         if self.error:
-            raise AssertionError(f"what is repeated broke off: {self.error!r}") from self.error
+            raise AssertionError(f"the repeated action failed: {self.error!r}") from self.error
 
     def _run(self) -> None:
         try:
             while not self.stop_requested.wait(self.interval_s):
                 self.action()
-        except Exception as error:  # noqa: BLE001 - told by stop, not by a thread that nobody joins
+        except Exception as error:  # noqa: BLE001 - reported by stop
             self.error = error
--- a/features/harness/site.py
+++ b/features/harness/site.py
@@ -1,4 +1,4 @@
-"""Run a small site: stand-ins and daemons as processes on loopback."""
+"""Run a small site of stand-in and daemon processes on loopback."""
 
 import json
 import signal
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class Site:
-    """Start, break and mend a site; everything ends with the scenario."""
+    """Start and control the processes of a site; all end with the scenario."""
 
     processes: Processes
     api: str = ""
@@ -48,7 +48,7 @@
     folder: Path = field(default_factory=lambda: Path(tempfile.mkdtemp(prefix="site-")))
 
     def start(self, *, api_options: tuple[str, ...] = ()) -> None:
-        """Start the platform's stand-ins."""
+        """Start the stand-ins of the object API and the weight store."""
         self.api = self.processes.start_stand_in("objectapi", *api_options).address
         options = ("--loads-per-second", "50", "--at-once", "6", "--ms-per-gb", "50")
         self.weights = self.processes.start_stand_in("weightstore", *options).address
@@ -60,7 +60,7 @@
         return self.relays[name]
 
     def engine(self, name: str, *options: str, address: str = "127.0.0.1:0") -> str:
-        """Start an engine of one accelerator unless the options say otherwise."""
+        """Start an engine, by default with one accelerator."""
         capacity = () if "--capacity-mb" in options else ("--capacity-mb", str(CAPACITY_MB))
         command = (*capacity, "--weights", self.weights, "--address", address, *options)
         self.engines[name] = self.processes.start_stand_in("engine", *command)
@@ -77,7 +77,7 @@
         api: str = "",
         **target: Any,
     ) -> Daemon:
-        """Start an engine and the process beside it, with relays before either if asked."""
+        """Start an engine and its target daemon, each optionally behind a relay."""
         address = self.engine(name, *engine_options)
         if engine_relay:
             address = self.relay(f"engine of {name}", address).address
@@ -96,7 +96,7 @@
         api: str = "",
         **target: Any,
     ) -> Daemon:
-        """Start a plain service and the process beside it."""
+        """Start a plain service and its target daemon, each optionally behind a relay."""
         self.services[name] = self.processes.start_stand_in("service", *options)
         address = self.services[name].address
         if service_relay:
@@ -114,23 +114,23 @@
         settings: dict[str, Any] | None = None,
         **entry: Any,
     ) -> Daemon:
-        """Start an entry."""
+        """Start an entry daemon."""
         section = {"listen": "127.0.0.1:0", "workers": 24, "max_in_flight": 16, **entry}
         return self._daemon(name, "entry", domain, section, relay, api, settings or {})
 
     def restart(self, name: str) -> Daemon:
-        """Start a daemon that has ended again, at its former address and with its settings."""
+        """Restart an ended daemon with the same address and settings."""
         daemon = self.daemons[name]
         daemon.settings[daemon.role]["listen"] = daemon.address
         daemon.started = self._start(name, daemon.settings)
         return daemon
 
     def kill(self, name: str) -> None:
-        """Kill a daemon without any farewell."""
+        """Kill a daemon without graceful shutdown."""
         kill(self.daemons[name].started)
 
     def kill_engine(self, name: str) -> None:
-        """Kill an engine without any farewell."""
+        """Kill an engine without graceful shutdown."""
         kill(self.engines[name])
 
     def terminate(self, name: str) -> None:
@@ -138,15 +138,15 @@
         self.daemons[name].started.process.send_signal(signal.SIGTERM)
 
     def pause(self, name: str) -> None:
-        """Freeze a daemon."""
+        """Suspend a daemon with SIGSTOP."""
         self.daemons[name].started.process.send_signal(signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
-        """Let a frozen daemon go on."""
+        """Resume a suspended daemon."""
         self.daemons[name].started.process.send_signal(signal.SIGCONT)
 
     def store(self) -> HttpObjectStore:
-        """Reach the object API as an operator does."""
+        """Return an object store client that acts as an operator."""
         return HttpObjectStore(
             self.api,
             caller="operator",
@@ -169,7 +169,7 @@
         *,
         operator: str = "ana",
     ) -> None:
-        """Write a bundle and have it approved."""
+        """Write a bundle and approve it as a second operator."""
         value = {
             "name": name,
             "models": models,
@@ -180,7 +180,7 @@
         rolls.approve(store, clock, name, operator="luis")
 
     def roll_approved(self, name: str, *, operator: str = "ana") -> rolls.RollResult:
-        """Roll a bundle that has been approved."""
+        """Roll an approved bundle."""
         return rolls.roll(self.store(), SystemClock(), name, operator=operator)
 
     def wait_for_targets(self) -> None:
@@ -189,8 +189,8 @@
 
         def reported() -> bool:
             found = self.store().list(keys.statuses(REGION)).objects
-            told = [item for item in found if item.value["capacity_mb"] or item.value["service"]]
-            return len(told) >= expected
+            ready = [item for item in found if item.value["capacity_mb"] or item.value["service"]]
+            return len(ready) >= expected
 
         wait_for(reported, "every target's status")
 
@@ -200,7 +200,7 @@
             wait_for(partial(self.serves, entry, name), f"{entry} serves {name}")
 
     def serves(self, entry: str, name: str) -> bool:
-        """Tell whether an entry serves a model now."""
+        """Return whether an entry currently serves a model."""
         return chat_call(self.daemons[entry].public, name, "x", max_tokens=1).wait().whole()
 
     def replicas(self, model: str) -> dict[str, str]:
@@ -211,15 +211,15 @@
         return {f"{r['target']} {r['version']}": r["state"] for r in found.value["replicas"]}
 
     def engine_log(self, name: str) -> Any:
-        """Return what an engine stand-in has seen."""
+        """Return the log of an engine stand-in."""
         return call(self.engines[name].address, "GET", "/log")
 
     def service_log(self, name: str) -> Any:
-        """Return what a plain service stand-in has seen."""
+        """Return the log of a service stand-in."""
         return call(self.services[name].address, "GET", "/log")
 
     def list_instance(self, daemon: Daemon, *, state: str = "live") -> None:
-        """Enter a daemon in the instance list."""
+        """Add a daemon to the instance list."""
         value = {
             "name": daemon.name,
             "role": daemon.role,
--- a/features/harness/site_parts.py
+++ b/features/harness/site_parts.py
@@ -1,4 +1,4 @@
-"""Describe what a site runs besides stand-ins."""
+"""Define the relays and daemons of a site."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class Relay:
-    """Stand between two processes."""
+    """Control a relay between two processes."""
 
     address: str
     control: str
@@ -19,14 +19,14 @@
         call(self.control, "POST", "/mode", {"mode": mode})
 
     def interrupt(self, mode: str) -> None:
-        """Break the open connections so, and let new ones pass."""
+        """Apply a mode to the open connections only; new ones pass."""
         self.mode(mode)
         self.mode("pass")
 
 
 @dataclass(slots=True)
 class Daemon:
-    """Hold one of our processes and how to start it again."""
+    """Describe a daemon process and the settings to restart it."""
 
     name: str
     role: str
--- a/standins/src/mimosaspur_standins/__init__.py
+++ b/standins/src/mimosaspur_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the outside systems of mimosaspur in its tests."""
+"""Simulate the external systems that mimosaspur depends on, for tests."""
--- a/standins/src/mimosaspur_standins/__main__.py
+++ b/standins/src/mimosaspur_standins/__main__.py
@@ -24,54 +24,54 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Describe the command line; each option is an argument of the stand-in's class."""
-    top = argparse.ArgumentParser(prog="mimosaspur_standins")
-    kinds = top.add_subparsers(dest="stand_in", required=True)
-    parts = {kind: kinds.add_parser(kind) for kind in CLASSES}
-    for kind, part in parts.items():
-        part.add_argument("--name", default=kind)
-        part.add_argument("--address", default=EPHEMERAL_ADDRESS)
-    add_objectapi_options(parts["objectapi"])
-    add_weightstore_options(parts["weightstore"])
-    add_engine_options(parts["engine"])
-    parts["service"].add_argument("--work-ms", type=float, default=0)
-    parts["relay"].add_argument("--to", required=True)
-    parts["relay"].add_argument("--control", default=EPHEMERAL_ADDRESS)
-    return top
+    """Build the command line; each option is a parameter of the stand-in's class."""
+    parser = argparse.ArgumentParser(prog="mimosaspur_standins")
+    commands = parser.add_subparsers(dest="stand_in", required=True)
+    subparsers = {kind: commands.add_parser(kind) for kind in CLASSES}
+    for kind, subparser in subparsers.items():
+        subparser.add_argument("--name", default=kind)
+        subparser.add_argument("--address", default=EPHEMERAL_ADDRESS)
+    add_objectapi_options(subparsers["objectapi"])
+    add_weightstore_options(subparsers["weightstore"])
+    add_engine_options(subparsers["engine"])
+    subparsers["service"].add_argument("--work-ms", type=float, default=0)
+    subparsers["relay"].add_argument("--to", required=True)
+    subparsers["relay"].add_argument("--control", default=EPHEMERAL_ADDRESS)
+    return parser
 
 
-def add_objectapi_options(part: argparse.ArgumentParser) -> None:
-    """Add the object API's options; a rate of 0 is no limit."""
-    part.add_argument("--writes-per-second", type=int, default=0)
-    part.add_argument("--reads-per-second", type=int, default=0)
-    part.add_argument("--lag-ms", type=float, default=0)
+def add_objectapi_options(subparser: argparse.ArgumentParser) -> None:
+    """Add the object API's options; a rate of 0 means no limit."""
+    subparser.add_argument("--writes-per-second", type=int, default=0)
+    subparser.add_argument("--reads-per-second", type=int, default=0)
+    subparser.add_argument("--lag-ms", type=float, default=0)
 
 
-def add_weightstore_options(part: argparse.ArgumentParser) -> None:
-    """Add the weight store's options; a rate of 0 is no limit."""
-    part.add_argument("--loads-per-second", type=int, default=0)
-    part.add_argument("--at-once", type=int, default=8)
-    part.add_argument("--ms-per-gb", type=float, default=10)
+def add_weightstore_options(subparser: argparse.ArgumentParser) -> None:
+    """Add the weight store's options; a rate of 0 means no limit."""
+    subparser.add_argument("--loads-per-second", type=int, default=0)
+    subparser.add_argument("--at-once", type=int, default=8)
+    subparser.add_argument("--ms-per-gb", type=float, default=10)
 
 
-def add_engine_options(part: argparse.ArgumentParser) -> None:
+def add_engine_options(subparser: argparse.ArgumentParser) -> None:
     """Add the engine's options."""
-    part.add_argument("--capacity-mb", type=int, action="append", required=True)
-    part.add_argument("--slots", type=int, default=8)
-    part.add_argument("--prefill-ms", type=float, default=20)
-    part.add_argument("--token-ms", type=float, default=2)
-    part.add_argument("--weights")
-    part.add_argument("--load-ms", type=float, default=50)
-    part.add_argument("--unload-ms", type=float, default=10)
-    part.add_argument("--ignore-fencing", action="store_true")
-    part.add_argument("--load-lag-ms", type=float, default=0)
-    part.add_argument("--cache-lag-ms", type=float, default=100)
-    part.add_argument("--cache-gap-every", type=int, default=0)
+    subparser.add_argument("--capacity-mb", type=int, action="append", required=True)
+    subparser.add_argument("--slots", type=int, default=8)
+    subparser.add_argument("--prefill-ms", type=float, default=20)
+    subparser.add_argument("--token-ms", type=float, default=2)
+    subparser.add_argument("--weights")
+    subparser.add_argument("--load-ms", type=float, default=50)
+    subparser.add_argument("--unload-ms", type=float, default=10)
+    subparser.add_argument("--ignore-fencing", action="store_true")
+    subparser.add_argument("--load-lag-ms", type=float, default=0)
+    subparser.add_argument("--cache-lag-ms", type=float, default=100)
+    subparser.add_argument("--cache-gap-every", type=int, default=0)
 
 
 def main() -> int:
-    """Serve until a signal says to stop."""
-    # Blocked before any thread starts, so that only sigwait gets them.
+    """Serve until SIGTERM or SIGINT."""
+    # Blocked before any thread starts, so that only sigwait receives the signals.
     signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
     options = vars(build_parser().parse_args())
     stand_in = CLASSES[options.pop("stand_in")](**options)
--- a/standins/src/mimosaspur_standins/base.py
+++ b/standins/src/mimosaspur_standins/base.py
@@ -1,4 +1,4 @@
-"""Serve JSON over HTTP for the stand-ins, with faults on order."""
+"""Serve JSON over HTTP for the stand-ins, with fault injection."""
 
 import contextlib
 import json
@@ -36,12 +36,12 @@
 
 
 def now_ms() -> float:
-    """Tell the monotonic time in milliseconds."""
+    """Return the monotonic time in milliseconds."""
     return time.monotonic() * MS_PER_SECOND
 
 
 class Handler(BaseHTTPRequestHandler):
-    """Read requests of one connection and answer them."""
+    """Handle the requests of one connection."""
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
@@ -50,10 +50,10 @@
     server: "Server"
 
     def log_message(self, template: str, *args: object) -> None:
-        """Keep standard error quiet."""
+        """Discard the access log."""
 
     def serve(self) -> None:
-        """Answer one request, or let a fault strike it."""
+        """Answer one request, or inject the first matching fault."""
         request = self.read_request()
         stand_in = self.server.stand_in
         fault = None
@@ -67,20 +67,20 @@
             self.inject_fault(fault, request)
         stand_in.on_reply_sent(request, self.sent_bytes)
 
-    # http.server sets these names.
+    # Names required by http.server.
     do_GET = serve
     do_POST = serve
     do_PUT = serve
     do_DELETE = serve
 
     def read_request(self) -> Request:
-        """Read the request with its body."""
+        """Read the request and its body."""
         path, _, query = self.path.partition("?")
         parsed = parse_qs(query, keep_blank_values=True)
         return Request(self.command, path, parsed, self.headers, self.read_body())
 
     def read_body(self) -> bytes:
-        """Read a body of known length, or a chunked one."""
+        """Read a body with Content-Length or chunked encoding."""
         if self.headers.get("Transfer-Encoding", "").lower() != "chunked":
             return self.rfile.read(int(self.headers.get("Content-Length", 0)))
         parts = []
@@ -92,7 +92,7 @@
         return b"".join(parts)
 
     def inject_fault(self, fault: Fault, request: Request) -> None:
-        """Let a fault strike a request."""
+        """Handle a request as the fault describes."""
         answer = self.server.stand_in.answer
         match fault.kind:
             case "drop":
@@ -110,33 +110,33 @@
             case "hang":
                 self.hang()
             case "error":
-                self.send(Reply(fault.status, {"error": "ordered fault"}))
+                self.send(Reply(fault.status, {"error": "injected fault"}))
 
     def drop_connection(self) -> None:
-        """Close the connection now."""
+        """Close the connection immediately."""
         self.close_connection = True
-        with contextlib.suppress(OSError):  # the peer was quicker
+        with contextlib.suppress(OSError):  # already closed by the peer
             self.connection.shutdown(socket.SHUT_RDWR)
 
     def hang(self) -> None:
         """Keep the connection open until the peer closes it."""
         self.close_connection = True
-        with contextlib.suppress(OSError):  # a reset is a close too
+        with contextlib.suppress(OSError):  # a reset also ends the connection
             while self.connection.recv(RECV_BYTES):
                 pass
 
     def send(self, reply: Reply) -> None:
-        """Send a reply, if the peer is still there."""
+        """Send a reply, unless the peer has disconnected."""
         try:
             if reply.stream is None:
                 self.send_whole(reply)
             else:
                 self.send_stream(reply.status, reply.stream)
         except OSError:
-            self.close_connection = True  # the peer is gone; what was done stays done
+            self.close_connection = True  # peer disconnected; effects of the request remain
 
     def send_whole(self, reply: Reply) -> None:
-        """Send a JSON answer."""
+        """Send a JSON response."""
         body = json.dumps(reply.value).encode()
         self.sent_bytes = len(body)
         self.send_response(reply.status)
@@ -147,7 +147,7 @@
         self.wfile.flush()
 
     def send_stream(self, status: int, stream: Iterator[bytes]) -> None:
-        """Send a stream piece by piece."""
+        """Send a stream as chunks, flushing each."""
         self.send_response(status)
         self.send_header("Content-Type", "text/event-stream")
         self.send_header("Transfer-Encoding", "chunked")
@@ -160,8 +160,8 @@
         self.wfile.flush()
 
     def finish(self) -> None:
-        """Close the connection, also when the peer is gone."""
-        with contextlib.suppress(OSError):  # unsent bytes of a connection that is gone
+        """Close the connection, even if the peer has disconnected."""
+        with contextlib.suppress(OSError):  # flushing fails when the peer has disconnected
             super().finish()
 
 
@@ -174,11 +174,11 @@
     stand_in: "StandIn"
 
     def handle_error(self, request: object, client_address: object) -> None:
-        """Keep quiet about connections that peers reset."""
+        """Discard errors of connections that peers reset."""
 
 
 class StandIn:
-    """Route requests by method and path; the fault mechanism comes with it."""
+    """Route requests by method and path, with routes to inject faults."""
 
     def __init__(self, *, name: str, address: str) -> None:
         self.name = name
@@ -202,21 +202,21 @@
         self.server.server_close()
 
     def announcement(self) -> dict[str, str]:
-        """Give what a harness reads to find the stand-in."""
+        """Return the name and address that the harness reads at startup."""
         return {"name": self.name, "address": self.address}
 
     def on_request(self, request: Request) -> None:
-        """See each request before any fault strikes it."""
+        """Observe each request before any fault is injected."""
 
     def on_reply_sent(self, request: Request, sent_bytes: int) -> None:
-        """See the size of each whole answer's body after it is sent."""
+        """Observe a request and the size of its JSON response body after sending."""
 
     def route(self, method: str, path: str, handle: RouteHandler) -> None:
-        """Add a route; the first that fits answers; a path ending in `*` fits any rest."""
+        """Add a route; the first match is used, and a path ending in `*` matches any suffix."""
         self.routes.append((method, path, handle))
 
     def answer(self, request: Request) -> Reply:
-        """Do a request."""
+        """Pass a request to its route."""
         for method, path, handle in self.routes:
             if method not in (request.method, ANY) or not matches_path(path, request):
                 continue
@@ -224,7 +224,7 @@
                 return handle(request)
             except (ValueError, KeyError, TypeError) as error:
                 return Reply(400, {"error": f"bad request: {error!r}"})
-        return Reply(404, {"error": "no such path"})
+        return Reply(404, {"error": "no route for this method and path"})
 
     def add_fault(self, request: Request) -> Reply:
         """Add a fault."""
--- a/standins/src/mimosaspur_standins/engine.py
+++ b/standins/src/mimosaspur_standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand in for a model engine."""
+"""Simulate a model engine."""
 
 import uuid
 from dataclasses import asdict
@@ -14,7 +14,7 @@
 
 
 class Engine(StandIn):
-    """Serve chat completions on the residents that orders loaded."""
+    """Serve chat completions from the residents that orders have loaded."""
 
     def __init__(
         self,
@@ -61,38 +61,38 @@
         self.route("GET", "/log", self.report_log)
 
     def complete(self, request: Request) -> Reply:
-        """Answer a chat completion, whole or as a stream."""
+        """Answer a chat completion, at once or as a stream."""
         body = request.json_object()
         resident = self.residents.acquire(str(body["model"]))
         if resident is None:
-            return Reply(404, {"error": f"{body['model']} is not ready here"})
+            return Reply(404, {"error": f"{body['model']} is not ready on this engine"})
         request_id = request.headers.get("X-Request-Id") or uuid.uuid4().hex
         try:
-            work = self.scheduler.submit(request_id, resident, body)
+            job = self.scheduler.submit(request_id, resident, body)
         except (ValueError, KeyError, TypeError, IndexError) as error:
             self.residents.release(resident)
             return Reply(400, {"error": f"bad messages or max_tokens: {error!r}"})
         if body.get("stream"):
-            return Reply(stream=self.scheduler.stream(work, 0))
-        if self.scheduler.wait(work):
-            return Reply(value=work.full_response())
+            return Reply(stream=self.scheduler.stream(job, 0))
+        if self.scheduler.wait(job):
+            return Reply(value=job.full_response())
         return Reply(409, {"error": "cancelled"})
 
     def resume(self, request: Request) -> Reply:
-        """Go on with a stream after the event that the caller saw last."""
-        work = self.scheduler.find(request.name)
-        if work is None or work.state == "cancelled":
+        """Resume a stream after the event named by Last-Event-ID."""
+        job = self.scheduler.find(request.name)
+        if job is None or job.state == "cancelled":
             return Reply(404, {"error": "no such stream"})
         after = int(request.headers.get("Last-Event-ID") or 0)
-        return Reply(stream=self.scheduler.stream(work, after))
+        return Reply(stream=self.scheduler.stream(job, after))
 
     def cancel(self, request: Request) -> Reply:
-        """Cancel a request's work."""
+        """Cancel the job of a request."""
         known = self.scheduler.cancel(request.name)
         return Reply() if known else Reply(404, {"error": "no such stream"})
 
     def order(self, request: Request) -> Reply:
-        """Take an order."""
+        """Accept an order."""
         try:
             order = self.residents.submit(Order(**request.json_object()))
         except StaleFencingTokenError:
@@ -100,17 +100,17 @@
         return Reply(202, {"order_id": order.order_id, "state": order.state})
 
     def cache_events(self, request: Request) -> Reply:
-        """Publish events of the prefix cache."""
+        """Return published events of the prefix cache."""
         following, events = self.cache.events_since(request.query_int("since"))
         return Reply(value={"next": following, "events": [asdict(event) for event in events]})
 
     def report_log(self, request: Request) -> Reply:
-        """Give what a harness checks."""
-        workshop = self.scheduler
-        with workshop.lock:
-            work = {
-                "runs": dict(workshop.runs),
-                "cancelled": list(workshop.cancelled),
-                "finished": list(workshop.finished),
+        """Return the counts and logs that the harness checks."""
+        scheduler = self.scheduler
+        with scheduler.lock:
+            job_log = {
+                "runs": dict(scheduler.runs),
+                "cancelled": list(scheduler.cancelled),
+                "finished": list(scheduler.finished),
             }
-        return Reply(value={**self.residents.log(), **work})
+        return Reply(value={**self.residents.log(), **job_log})
--- a/standins/src/mimosaspur_standins/faults.py
+++ b/standins/src/mimosaspur_standins/faults.py
@@ -1,4 +1,4 @@
-"""Hold the faults that a harness orders of a stand-in."""
+"""Store the faults that the harness injects into a stand-in."""
 
 import threading
 from dataclasses import asdict
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class Fault:
-    """Describe one ordered fault: `count` is what is left, `struck` how often it struck."""
+    """Describe a fault: `count` is how many injections remain, `struck` how many were made."""
 
     kind: FaultKind
     match: str = ""
@@ -26,37 +26,37 @@
 
 
 class Faults:
-    """Keep the ordered faults and pick the one that strikes a request."""
+    """Store the active faults and select the one to inject into a request."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
         self.faults: list[Fault] = []
 
-    def add(self, wanted: dict[str, Any]) -> None:
-        """Add a fault; raise ValueError when it isn't one."""
-        if wanted.get("kind") not in KINDS:
+    def add(self, fields: dict[str, Any]) -> None:
+        """Add a fault; raise ValueError if it is invalid."""
+        if fields.get("kind") not in KINDS:
             raise ValueError(f"kind must be one of {', '.join(KINDS)}")
         try:
-            fault = Fault(**wanted)
+            fault = Fault(**fields)
         except TypeError as error:
             raise ValueError(
-                f"use kind, match, count, delay_ms and status only: {error}"
+                f"unknown field; use kind, match, count, delay_ms and status: {error}"
             ) from error
         with self.lock:
             self.faults.append(fault)
 
     def clear(self) -> None:
-        """Forget every fault."""
+        """Remove all faults."""
         with self.lock:
             self.faults.clear()
 
     def listing(self) -> list[dict[str, Any]]:
-        """List the faults, spent ones too (count 0), until they are cleared."""
+        """List all faults until they are cleared, including used-up ones (count 0)."""
         with self.lock:
             return [asdict(fault) for fault in self.faults]
 
     def take_matching(self, line: str) -> Fault | None:
-        """Take the first fault that matches `METHOD /path?query` and count it."""
+        """Return the first active fault that matches `METHOD /path?query` and count its use."""
         with self.lock:
             for fault in self.faults:
                 if fault.count == 0 or fault.match not in line:
--- a/standins/src/mimosaspur_standins/links.py
+++ b/standins/src/mimosaspur_standins/links.py
@@ -1,4 +1,4 @@
-"""Carry one relayed connection, with silence and delay on order."""
+"""Forward one relayed connection, with optional delay and data loss."""
 
 import contextlib
 import queue
@@ -16,7 +16,7 @@
 
 
 class Flow:
-    """Carry bytes in one direction; `silent` swallows them for good."""
+    """Forward bytes in one direction; `discarding` drops them permanently."""
 
     def __init__(self, link: "Link", source: socket.socket, sink: socket.socket) -> None:
         self.link = link
@@ -27,12 +27,12 @@
         self.pending: queue.SimpleQueue[tuple[float, bytes]] = queue.SimpleQueue()
 
     def start(self) -> None:
-        """Carry in the background."""
+        """Forward in background threads."""
         threading.Thread(target=self.read, daemon=True).start()
         threading.Thread(target=self.write, daemon=True).start()
 
     def read(self) -> None:
-        """Note when each piece is due at the other end; an empty piece is the end."""
+        """Queue each chunk with the time to send it; an empty chunk marks the end."""
         data = b"start"
         while data:
             try:
@@ -42,7 +42,7 @@
             self.pending.put((now_ms() + self.link.delay_ms(), data))
 
     def write(self) -> None:
-        """Send the pieces when they are due."""
+        """Send each chunk when it is due."""
         data = b"start"
         while data:
             due_ms, data = self.pending.get()
@@ -53,8 +53,8 @@
         self.link.on_flow_ended()
 
     def send(self, data: bytes) -> None:
-        """Pass on a piece or the end."""
-        with contextlib.suppress(OSError):  # the other flow sees that the peer is gone
+        """Send a chunk, or shut down the write side for an empty one."""
+        with contextlib.suppress(OSError):  # the other flow detects the disconnect
             if data:
                 self.sink.sendall(data)
             else:
@@ -62,7 +62,7 @@
 
 
 class Link:
-    """Tie an accepted connection to a new one; `asks` and `answers` are its two flows."""
+    """Connect an accepted (downstream) connection to a new upstream one."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
         self.responses = Flow(self, self.upstream, self.downstream)
 
     def open(self, to: tuple[str, int]) -> None:
-        """Connect to the other side and carry."""
+        """Connect upstream and forward both directions."""
         try:
             self.upstream.settimeout(CONNECT_TIMEOUT_S)
             self.upstream.connect(to)
@@ -95,22 +95,22 @@
         self.responses.start()
 
     def is_frozen(self) -> bool:
-        """Tell whether a direction went silent."""
+        """Return whether either direction discards its data."""
         return self.requests.discarding or self.responses.discarding
 
     def reset(self) -> None:
-        """Reset both ends."""
+        """Reset both connections."""
         self.broken = True
         for end in (self.downstream, self.upstream):
-            with contextlib.suppress(OSError):  # closed already
+            with contextlib.suppress(OSError):  # already closed
                 end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-            # A reading thread keeps the connection alive, so wake it first.
+            # A thread blocked in recv keeps the connection open, so unblock it first.
             with contextlib.suppress(OSError):
                 end.shutdown(socket.SHUT_RD)
             end.close()
 
     def on_flow_ended(self) -> None:
-        """Close both ends when both flows are over, but never those of a frozen link."""
+        """Close both connections once both flows have ended, unless the link is frozen."""
         if not (self.requests.ended and self.responses.ended) or self.is_frozen():
             return
         self.downstream.close()
--- a/standins/src/mimosaspur_standins/messages.py
+++ b/standins/src/mimosaspur_standins/messages.py
@@ -1,4 +1,4 @@
-"""Hold requests and replies of the stand-ins."""
+"""Define requests and replies of the stand-ins."""
 
 import json
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """Hold one request; `rest` is the raw path behind the prefix of its route."""
+    """Describe a request; `path_suffix` is the raw path after the route's prefix."""
 
     method: str
     path: str
@@ -25,32 +25,32 @@
 
     @property
     def name(self) -> str:
-        """Give the decoded rest of the path."""
+        """Return the decoded path suffix."""
         return unquote(self.path_suffix)
 
     def query_value(self, key: str, default: str = "") -> str:
-        """Give the first value of a query parameter."""
+        """Return the first value of a query parameter."""
         return self.query.get(key, [default])[0]
 
     def query_int(self, key: str, default: int = 0) -> int:
-        """Give a query parameter as a number; raise ValueError when it isn't one."""
+        """Return a query parameter as an integer; raise ValueError if it is not one."""
         return int(self.query_value(key, str(default)))
 
     def json_body(self) -> object:
-        """Give the JSON body; raise ValueError when it isn't JSON."""
+        """Return the parsed JSON body; raise ValueError if it is not JSON."""
         return json.loads(self.body)
 
     def json_object(self) -> dict[str, Any]:
-        """Give the JSON body; raise ValueError when it isn't an object."""
+        """Return the JSON body; raise ValueError if it is not an object."""
         value = self.json_body()
         if not isinstance(value, dict):
-            raise ValueError("send a JSON object")
+            raise ValueError("request body must be a JSON object")
         return value
 
 
 @dataclass(slots=True)
 class Reply:
-    """Hold a JSON answer, or a stream of server-sent events when `stream` is set."""
+    """Describe a JSON response, or a stream of server-sent events if `stream` is set."""
 
     status: int = 200
     value: object = field(default_factory=dict)
@@ -61,7 +61,7 @@
 
 
 def matches_path(path: str, request: Request) -> bool:
-    """Tell whether a route's path fits a request and note the rest of its path."""
+    """Return whether a route's path matches a request, and set its path suffix."""
     if not path.endswith(ANY):
         return path == request.path
     prefix = path.removesuffix(ANY)
--- a/standins/src/mimosaspur_standins/objectapi.py
+++ b/standins/src/mimosaspur_standins/objectapi.py
@@ -1,4 +1,4 @@
-"""Stand in for the object API and the instance list."""
+"""Simulate the object API and the instance list."""
 
 import threading
 from collections import Counter
@@ -22,7 +22,7 @@
 
 
 def call_kind(request: Request) -> str:
-    """Tell the kind of a call: read, write, watch, or other (the harness, the instance list)."""
+    """Return the kind of a call: read, write, watch or other (harness, instance list)."""
     if request.path == "/watch":
         return "watch"
     if not request.path.startswith("/objects"):
@@ -31,7 +31,7 @@
 
 
 class CallCounts:
-    """Count calls and bodies' bytes by kind and by caller, and the busiest second's calls."""
+    """Count calls by kind and caller, body bytes by caller, and the peak calls per second."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
@@ -50,14 +50,14 @@
                 self.window.add()
 
     def add_bytes(self, caller: str, *, received: int, sent: int) -> None:
-        """Count the bytes of the bodies of a call."""
+        """Count the bytes of a call's bodies."""
         with self.lock:
             counter = self.bytes_by_caller.setdefault(caller, Counter())
             counter["received"] += received
             counter["sent"] += sent
 
     def report(self) -> dict[str, Any]:
-        """Give all counts."""
+        """Return all counts."""
         with self.lock:
             return {
                 "by_kind": dict(self.by_kind),
@@ -71,7 +71,7 @@
 
 
 class InstanceList:
-    """Keep the instances and show them as they were `lag_ms` ago."""
+    """Store the instances and list them as they were `lag_ms` ago."""
 
     def __init__(self, *, lag_ms: float) -> None:
         self.lock = threading.Lock()
@@ -80,7 +80,7 @@
         self.snapshots: deque[tuple[float, list[Instance]]] = deque(maxlen=MAX_SNAPSHOTS)
 
     def put(self, name: str, instance: Instance | None) -> None:
-        """Add or change an instance; None takes it away."""
+        """Add or replace an instance; None removes it."""
         with self.lock:
             if instance is None:
                 self.instances.pop(name, None)
@@ -89,17 +89,17 @@
             self.snapshots.append((now_ms(), list(self.instances.values())))
 
     def lagged_list(self) -> list[Instance]:
-        """Give the lagging list."""
+        """Return the list as it was `lag_ms` ago."""
         with self.lock:
-            seen_until = now_ms() - self.lag_ms
+            visible_until_ms = now_ms() - self.lag_ms
             for at_ms, snapshot in reversed(self.snapshots):
-                if at_ms <= seen_until:
+                if at_ms <= visible_until_ms:
                     return snapshot
         return []
 
 
 class ObjectApi(StandIn):
-    """Serve objects, watches and the instance list."""
+    """Serve objects, watches and the instance list, with rate limits."""
 
     def __init__(
         self,
@@ -133,38 +133,38 @@
         self.counts.add(call_kind(request), request.headers.get("X-Caller", UNKNOWN_CALLER))
 
     def on_reply_sent(self, request: Request, sent_bytes: int) -> None:
-        """Count the bytes of each call's bodies; headers are left out."""
+        """Count the bytes of each call's bodies, without headers."""
         caller = request.headers.get("X-Caller", UNKNOWN_CALLER)
         self.counts.add_bytes(caller, received=len(request.body), sent=sent_bytes)
 
     def answer(self, request: Request) -> Reply:
-        """Do a request that is within the rate."""
+        """Handle a request, or refuse it when over the rate limit."""
         kind = call_kind(request)
-        # A watch takes from the reads' rate: each call counts as one.
+        # Each watch call counts against the read rate.
         limited = "read" if kind == "watch" else kind
         if limited in self.limits and not self.allow_call(limited):
-            return Reply(429, {"error": "over the rate, try again later"})
+            return Reply(429, {"error": "rate limit exceeded, retry later"})
         return super().answer(request)
 
     def allow_call(self, kind: str) -> bool:
-        """Tell whether the rate has room for a call, and take it."""
+        """Record a call if it is within the rate limit and return whether it is."""
         with self.counts.lock:
             allowed = self.windows[kind].allow(self.limits[kind])
             self.counts.refused += not allowed
             return allowed
 
     def get(self, request: Request) -> Reply:
-        """Give an object."""
+        """Return an object."""
         found = self.store.get(request.path_suffix)
         return Reply(value=asdict(found)) if found else Reply(404, {"error": "no such object"})
 
     def put(self, request: Request) -> Reply:
         """Create or update an object."""
         if len(request.body) > MAX_VALUE_BYTES:
-            return Reply(413, {"error": f"send at most {MAX_VALUE_BYTES} bytes"})
+            return Reply(413, {"error": f"value exceeds {MAX_VALUE_BYTES} bytes"})
         expected = expected_version(request)
         if expected is None:
-            return Reply(428, {"error": "send If-Match or If-None-Match: *"})
+            return Reply(428, {"error": "missing header If-Match or If-None-Match: *"})
         done, version = self.store.put(request.path_suffix, request.json_body(), expected)
         return Reply(200 if done else 412, {"version": version})
 
@@ -172,14 +172,14 @@
         """Delete an object."""
         expected = expected_version(request)
         if not expected:
-            return Reply(428, {"error": "send If-Match"})
+            return Reply(428, {"error": "missing header If-Match"})
         done, version = self.store.delete(request.path_suffix, expected)
         if not done and version == 0:
             return Reply(404, {"error": "no such object"})
         return Reply(200 if done else 412, {"version": version})
 
     def list_page(self, request: Request) -> Reply:
-        """Give one page of objects."""
+        """Return one page of objects."""
         limit = request.query_int("limit", DEFAULT_PAGE_SIZE)
         revision, page, more = self.store.list_page(
             request.query_value("prefix"), request.query_value("after"), limit
@@ -188,7 +188,7 @@
         return Reply(value={"revision": revision, "objects": objects, "more": more})
 
     def watch(self, request: Request) -> Reply:
-        """Wait for changes."""
+        """Return changes since a revision, waiting up to `wait_ms`."""
         prefixes = tuple(request.query.get("prefix", [""]))
         found = self.store.watch(prefixes, request.query_int("since"), request.query_int("wait_ms"))
         if found is None:
@@ -197,16 +197,16 @@
         return Reply(value={"revision": found[0], "events": events})
 
     def instances(self, request: Request) -> Reply:
-        """Give the instance list."""
+        """Return the instance list."""
         return Reply(value={"instances": self.instance_list.lagged_list()})
 
     def put_instance(self, request: Request) -> Reply:
-        """Add or change an instance for the harness."""
+        """Add or replace an instance."""
         self.instance_list.put(request.name, request.json_object())
         return Reply()
 
     def delete_instance(self, request: Request) -> Reply:
-        """Take an instance away for the harness."""
+        """Remove an instance."""
         self.instance_list.put(request.name, None)
         return Reply()
 
@@ -216,17 +216,17 @@
         return Reply()
 
     def reset_counts(self, request: Request) -> Reply:
-        """Start all counts anew."""
+        """Reset all counts."""
         self.counts = CallCounts()
         return Reply()
 
 
 def expected_version(request: Request) -> int | None:
-    """Give the version that a write expects: 0 to create, None without a condition."""
+    """Return the version that a write expects: 0 to create, None without a condition."""
     match = request.headers.get("If-Match")
     if match is not None:
         version = int(match.strip().strip('"'))
         if version <= 0:
-            raise ValueError("If-Match takes a version above 0")
+            raise ValueError("If-Match must be a version above 0")
         return version
     return 0 if request.headers.get("If-None-Match", "").strip() == "*" else None
--- a/standins/src/mimosaspur_standins/objects.py
+++ b/standins/src/mimosaspur_standins/objects.py
@@ -1,4 +1,4 @@
-"""Keep versioned objects and the log of their changes."""
+"""Store versioned objects and the log of their changes."""
 
 import threading
 from collections import deque
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class Change:
-    """Hold the newest value of a key; None as an event's value is a deletion."""
+    """Describe a version of a key; an event with the value None is a deletion."""
 
     key: str
     version: int
@@ -29,17 +29,17 @@
         self.events: deque[Change] = deque(maxlen=MAX_EVENTS)
 
     def get(self, key: str) -> Change | None:
-        """Give an object."""
+        """Return an object, or None if absent."""
         with self.changed:
             return self.objects.get(key)
 
     def version(self, key: str) -> int:
-        """Tell the version of a key, 0 when it is absent."""
+        """Return the version of a key, or 0 if absent."""
         found = self.get(key)
         return found.version if found else 0
 
     def put(self, key: str, value: object, expected: int) -> tuple[bool, int]:
-        """Write if the version is the expected one (0 creates); tell success and version."""
+        """Write if the version is as expected (0 creates); return success and the version."""
         with self.changed:
             if self.version(key) != expected:
                 return False, self.version(key)
@@ -48,7 +48,7 @@
             return True, self.revision
 
     def delete(self, key: str, expected: int) -> tuple[bool, int]:
-        """Delete if the version is the expected one; tell success and version."""
+        """Delete if the version is as expected; return success and the version."""
         with self.changed:
             if self.version(key) != expected:
                 return False, self.version(key)
@@ -57,13 +57,13 @@
             return True, self.revision
 
     def record_change(self, key: str, value: object) -> None:
-        """Log a change and wake the watches; the caller holds the lock."""
+        """Log a change and notify watches; the caller must hold the lock."""
         self.revision += 1
         self.events.append(Change(key, self.revision, value))
         self.changed.notify_all()
 
     def list_page(self, prefix: str, after: str, limit: int) -> tuple[int, list[Change], bool]:
-        """Give revision, one page by key, and whether there is more."""
+        """Return the revision, one page in key order, and whether more follow."""
         with self.changed:
             keys = sorted(key for key in self.objects if key.startswith(prefix) and key > after)
             page = [self.objects[key] for key in keys[:limit]]
@@ -72,22 +72,22 @@
     def watch(
         self, prefixes: tuple[str, ...], since: int, wait_ms: int
     ) -> tuple[int, list[Change]] | None:
-        """Wait for changes after a revision; give None when it is too old to tell."""
-        deadline = now_ms() + wait_ms
+        """Wait for changes after a revision; return None if its events are no longer kept."""
+        deadline_ms = now_ms() + wait_ms
         scanned = since
         with self.changed:
             while True:
                 if scanned < self.revision - len(self.events):
                     return None
-                fresh = self.events_since(prefixes, scanned)
-                left = deadline - now_ms()
-                if fresh or left <= 0:
-                    return self.revision, fresh
+                changes = self.events_since(prefixes, scanned)
+                remaining_ms = deadline_ms - now_ms()
+                if changes or remaining_ms <= 0:
+                    return self.revision, changes
                 scanned = max(scanned, self.revision)
-                self.changed.wait(left / MS_PER_SECOND)
+                self.changed.wait(remaining_ms / MS_PER_SECOND)
 
     def events_since(self, prefixes: tuple[str, ...], since: int) -> list[Change]:
-        """Find the changes after a revision; the caller holds the lock."""
+        """Return the changes after a revision; the caller must hold the lock."""
         found = []
         for event in reversed(self.events):
             if event.version <= since:
--- a/standins/src/mimosaspur_standins/orders.py
+++ b/standins/src/mimosaspur_standins/orders.py
@@ -1,4 +1,4 @@
-"""Hold the engine's orders and residents."""
+"""Define the engine's orders and residents."""
 
 from dataclasses import asdict
 from dataclasses import dataclass
@@ -10,12 +10,12 @@
 
 
 class StaleFencingTokenError(Exception):
-    """Refuse an order whose fencing token is older than the newest seen."""
+    """Raised for an order whose fencing token is older than the newest seen."""
 
 
 @dataclass(slots=True)
 class Order:
-    """Hold an order and what became of it."""
+    """Describe an order and its outcome."""
 
     order_id: str
     fencing: int
@@ -30,29 +30,29 @@
     at_ms: int = 0
 
     def validate(self, accelerators: int) -> None:
-        """Raise ValueError when the order makes no sense on so many accelerators."""
+        """Raise ValueError if the order is invalid for an engine with this many accelerators."""
         if self.kind not in KINDS:
             raise ValueError(f"kind must be one of {KINDS}")
         if self.kind != "fence" and not self.id:
-            raise ValueError("name the resident in id")
+            raise ValueError("id of the resident is missing")
         if self.kind != "load":
             return
         if self.resident_kind not in RESIDENT_KINDS:
             raise ValueError(f"resident_kind must be one of {RESIDENT_KINDS}")
         if (self.resident_kind == "adapter") != (self.base is not None):
-            raise ValueError("base is for adapters and only for them")
+            raise ValueError("base must be set for adapters and only for them")
         if not self.accelerators or not set(self.accelerators) <= set(range(accelerators)):
             raise ValueError(f"accelerators must be among the {accelerators} of this engine")
 
     def finish(self, state: str, detail: str = "") -> None:
-        """Note the outcome."""
+        """Record the outcome."""
         self.state = state
         self.detail = detail
 
 
 @dataclass(slots=True)
 class Resident:
-    """Hold what is on the accelerators; `users` counts its loading and its work."""
+    """Describe loaded weights; `users` counts the load in progress and the running jobs."""
 
     id: str
     base: str | None
@@ -64,5 +64,5 @@
     users: int = 1
 
     def public_state(self) -> dict[str, Any]:
-        """Give the published part."""
+        """Return the fields that the engine publishes."""
         return {key: value for key, value in asdict(self).items() if key != "users"}
--- a/standins/src/mimosaspur_standins/prefixes.py
+++ b/standins/src/mimosaspur_standins/prefixes.py
@@ -1,4 +1,4 @@
-"""Keep the engine's prefix cache and publish its events, late and with gaps."""
+"""Simulate the engine's prefix cache and its event stream, with lag and gaps."""
 
 import threading
 from collections import OrderedDict
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class CacheEvent:
-    """Hold one published event of the cache."""
+    """Describe a published event of the cache."""
 
     sequence: int
     id: str
@@ -21,7 +21,7 @@
 
 
 class PrefixCache:
-    """Remember prefixes per resident; every `gap_every`th event is lost (0: none)."""
+    """Cache prefixes per resident; drop every `gap_every`th event (0: none)."""
 
     def __init__(self, *, lag_ms: float, gap_every: int) -> None:
         self.lag_ms = lag_ms
@@ -31,48 +31,48 @@
         self.events: list[tuple[float, CacheEvent]] = []
 
     def lookup(self, resident: str, text: str) -> bool:
-        """Tell whether the text's prefix is cached and make it the newest."""
+        """Return whether the text's prefix is cached, and mark it most recently used."""
         prefix = text[:PREFIX_CHARACTERS]
         with self.lock:
-            known = self.prefixes.get(resident, OrderedDict())
-            if prefix not in known:
+            cached = self.prefixes.get(resident, OrderedDict())
+            if prefix not in cached:
                 return False
-            known.move_to_end(prefix)
+            cached.move_to_end(prefix)
             return True
 
     def store(self, resident: str, text: str) -> None:
-        """Cache the text's prefix and evict the oldest beyond the room."""
+        """Cache the text's prefix, evicting the least recently used when full."""
         prefix = text[:PREFIX_CHARACTERS]
         with self.lock:
-            known = self.prefixes.setdefault(resident, OrderedDict())
-            if prefix in known:
+            cached = self.prefixes.setdefault(resident, OrderedDict())
+            if prefix in cached:
                 return
-            known[prefix] = None
+            cached[prefix] = None
             self.publish(resident, prefix, "stored")
-            if len(known) > MAX_PREFIXES:
-                oldest, _ = known.popitem(last=False)
+            if len(cached) > MAX_PREFIXES:
+                oldest, _ = cached.popitem(last=False)
                 self.publish(resident, oldest, "evicted")
 
     def evict_resident(self, resident: str) -> None:
-        """Evict all of a resident."""
+        """Evict all prefixes of a resident."""
         with self.lock:
             for prefix in self.prefixes.pop(resident, OrderedDict()):
                 self.publish(resident, prefix, "evicted")
 
     def publish(self, resident: str, prefix: str, kind: str) -> None:
-        """Add an event; the caller holds the lock."""
+        """Add an event; the caller must hold the lock."""
         event = CacheEvent(len(self.events) + 1, resident, prefix, kind)
         self.events.append((now_ms() + self.lag_ms, event))
 
     def events_since(self, first: int) -> tuple[int, list[CacheEvent]]:
-        """Give the next sequence to ask for, and the events out from `first` on."""
+        """Return the next sequence number to request, and the published events from `first` on."""
         now = now_ms()
         with self.lock:
             start = max(0, first - 1)
-            out = [event for due_ms, event in self.events[start:] if due_ms <= now]
-        found = [event for event in out if not self.is_dropped(event)]
-        return start + len(out) + 1, found
+            published = [event for due_ms, event in self.events[start:] if due_ms <= now]
+        found = [event for event in published if not self.is_dropped(event)]
+        return start + len(published) + 1, found
 
     def is_dropped(self, event: CacheEvent) -> bool:
-        """Tell whether the event falls into a gap."""
+        """Return whether the event is dropped to form a gap."""
         return self.gap_every > 0 and event.sequence % self.gap_every == 0
--- a/standins/src/mimosaspur_standins/relay.py
+++ b/standins/src/mimosaspur_standins/relay.py
@@ -1,4 +1,4 @@
-"""Relay TCP between two of our addresses and break it on order."""
+"""Relay TCP connections and break them on request."""
 
 import socket
 import threading
@@ -14,7 +14,7 @@
 
 
 class Relay(StandIn):
-    """Relay connections; the HTTP part is the control."""
+    """Relay TCP connections, with an HTTP control interface."""
 
     def __init__(self, *, name: str, address: str, control: str, to: str) -> None:
         super().__init__(name=name, address=control)
@@ -29,20 +29,20 @@
         self.route("POST", "/delay", self.set_delay)
 
     def start(self) -> None:
-        """Serve control and relay in the background."""
+        """Serve the control interface and relay in the background."""
         super().start()
         threading.Thread(target=self.accept, daemon=True).start()
 
     def announcement(self) -> dict[str, str]:
-        """Give the relayed address and the control's."""
+        """Return the addresses of the relay and of the control interface."""
         host, port = self.listener.getsockname()
         return {"name": self.name, "address": f"{host}:{port}", "control": self.address}
 
     def accept(self) -> None:
-        """Take connections for ever."""
+        """Accept connections indefinitely."""
         while True:
-            near, _ = self.listener.accept()
-            link = Link(near, delay_ms=lambda: self.delay_ms, on_close=self.remove_link)
+            downstream, _ = self.listener.accept()
+            link = Link(downstream, delay_ms=lambda: self.delay_ms, on_close=self.remove_link)
             with self.lock:
                 refused = self.mode == "refuse"
                 if not refused:
@@ -55,12 +55,12 @@
                 ).start()
 
     def remove_link(self, link: Link) -> None:
-        """Drop a link that is over."""
+        """Remove a closed link."""
         with self.lock:
             self.links.discard(link)
 
     def set_mode(self, request: Request) -> Reply:
-        """Break what is open now; only `refuse` and `pass` say something of what comes."""
+        """Apply a mode to open links; of the modes, only `refuse` also affects new ones."""
         mode = request.json_object()["mode"]
         if mode not in MODES:
             raise ValueError(f"mode must be one of {', '.join(MODES)}")
@@ -73,19 +73,19 @@
         return self.show_mode(request)
 
     def show_mode(self, request: Request) -> Reply:
-        """Tell the mode and how many links there are."""
+        """Return the mode and the number of open and frozen links."""
         with self.lock:
             frozen = sum(link.is_frozen() for link in self.links)
             return Reply(value={"mode": self.mode, "open": len(self.links), "frozen": frozen})
 
     def set_delay(self, request: Request) -> Reply:
-        """Delay each direction."""
+        """Set the delay of each direction."""
         self.delay_ms = float(request.json_object()["ms"])
         return Reply()
 
 
 def apply_mode(link: Link, mode: str) -> None:
-    """Do to one open link what a mode says."""
+    """Apply a mode to an open link."""
     match mode:
         case "freeze":
             link.requests.discarding = True
--- a/standins/src/mimosaspur_standins/residents.py
+++ b/standins/src/mimosaspur_standins/residents.py
@@ -1,4 +1,4 @@
-"""Obey the engine's orders and watch over the memory of its accelerators."""
+"""Execute the engine's orders and track the memory of its accelerators."""
 
 import http.client
 import threading
@@ -21,7 +21,7 @@
 
 
 class Residents:
-    """Load and unload residents; `weights` is the store's address, or loading takes `load_ms`."""
+    """Load and unload residents; without a weight store (`weights`) a load takes `load_ms`."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         self.unloads = 0
 
     def submit(self, order: Order) -> Order:
-        """Start an order, once; raise ValueError or StaleFencingTokenError."""
+        """Start an order unless its id is known; raise ValueError or StaleFencingTokenError."""
         with self.changed:
             known = self.orders.get(order.order_id)
             if known is not None:
@@ -65,7 +65,7 @@
             return order
 
     def start_order(self, order: Order) -> None:
-        """Take the first step of an order; the caller holds the lock."""
+        """Start executing an order; the caller must hold the lock."""
         match order.kind:
             case "fence":
                 order.finish("done")
@@ -75,7 +75,7 @@
                 self.start_unload(order)
 
     def start_load(self, order: Order) -> None:
-        """Take the memory of a load and start loading."""
+        """Reserve the memory of a load and start loading."""
         present = self.residents.get(order.id)
         if present is not None:
             ready = present.state == "ready"
@@ -97,7 +97,7 @@
         threading.Thread(target=self.load, args=(order, resident), daemon=True).start()
 
     def start_unload(self, order: Order) -> None:
-        """Stop new work on a resident and start unloading."""
+        """Stop new jobs on a resident and start unloading."""
         resident = self.residents.get(order.id)
         if resident is None:
             order.finish("done", "not resident")
@@ -110,7 +110,7 @@
             threading.Thread(target=self.unload, args=(order, resident), daemon=True).start()
 
     def load(self, order: Order, resident: Resident) -> None:
-        """Bring the weights in."""
+        """Load the weights and record the outcome."""
         problem = self.fetch_weights(resident)
         with self.changed:
             resident.users -= 1
@@ -126,7 +126,7 @@
             self.changed.notify_all()
 
     def unload(self, order: Order, resident: Resident) -> None:
-        """Wait for the end of all work on a resident, then free its memory."""
+        """Wait for all jobs of a resident to end, then free its memory."""
         with self.changed:
             self.changed.wait_for(lambda: resident.users == 0)
         sleep_ms(self.unload_ms)
@@ -138,7 +138,7 @@
             self.update_memory_use()
 
     def fetch_weights(self, resident: Resident) -> str:
-        """Read the weights; give the problem, empty when there is none."""
+        """Fetch the weights with retries; return an error text, empty on success."""
         if self.weights is None:
             sleep_ms(self.load_ms)
             return ""
@@ -155,20 +155,20 @@
         return problem
 
     def update_memory_use(self) -> None:
-        """Note the sum on each accelerator; the caller holds the lock."""
+        """Update the peak memory use of each accelerator; the caller must hold the lock."""
         for index, capacity in enumerate(self.capacity_mb):
-            on_it = (item for item in self.residents.values() if index in item.accelerators)
-            used = sum(item.memory_mb for item in on_it)
+            located = (item for item in self.residents.values() if index in item.accelerators)
+            used = sum(item.memory_mb for item in located)
             self.max_used_mb[index] = max(self.max_used_mb[index], used)
             self.overcommitted = self.overcommitted or used > capacity
 
     def is_ready(self, name: str) -> bool:
-        """Tell whether a model or adapter can work; the caller holds the lock."""
+        """Return whether a model or adapter can run jobs; the caller must hold the lock."""
         found = self.residents.get(name)
         return found is not None and found.state == "ready" and found.kind != "import"
 
     def acquire(self, name: str) -> Resident | None:
-        """Hold a ready resident for a piece of work; None when it isn't ready."""
+        """Reserve a ready resident for a job; return None if it is not ready."""
         with self.changed:
             if not self.is_ready(name):
                 return None
@@ -176,13 +176,13 @@
             return self.residents[name]
 
     def release(self, resident: Resident) -> None:
-        """End a hold."""
+        """Release a reserved resident."""
         with self.changed:
             resident.users -= 1
             self.changed.notify_all()
 
     def state(self) -> dict[str, Any]:
-        """Give the published state."""
+        """Return the state that the engine publishes."""
         with self.changed:
             orders = list(self.orders.values())[-MAX_LISTED_ORDERS:]
             return {
@@ -197,7 +197,7 @@
             }
 
     def log(self) -> dict[str, Any]:
-        """Give what a harness checks."""
+        """Return the counts and logs that the harness checks."""
         with self.changed:
             return {
                 "max_used_mb": list(self.max_used_mb),
@@ -212,7 +212,7 @@
 
 
 def request_weights(address: str, resident: Resident) -> int:
-    """Ask the weight store once; give the status."""
+    """Request the weights once; return the HTTP status."""
     host, port = split_address(address)
     connection = http.client.HTTPConnection(host, port)
     try:
--- a/standins/src/mimosaspur_standins/service.py
+++ b/standins/src/mimosaspur_standins/service.py
@@ -1,4 +1,4 @@
-"""Stand in for a plain service."""
+"""Simulate a plain service."""
 
 import threading
 from collections import Counter
@@ -11,7 +11,7 @@
 
 
 class Service(StandIn):
-    """Echo any request and remember how often it ran."""
+    """Echo any request and count its runs."""
 
     def __init__(self, *, name: str, address: str, work_ms: float = 0) -> None:
         super().__init__(name=name, address=address)
@@ -26,7 +26,7 @@
         self.route(ANY, "/*", self.echo)
 
     def echo(self, request: Request) -> Reply:
-        """Do a request and echo it."""
+        """Echo a request after `work_ms`."""
         request_id = request.headers.get("X-Request-Id", "")
         body = request.body.decode(errors="replace")
         run = self.record_run(request_id, body)
@@ -37,7 +37,7 @@
         return Reply(value={**answer, "echo": body, "run": run})
 
     def record_run(self, request_id: str, body: str) -> int:
-        """Count a run and tell which one it is."""
+        """Count a run and return its number."""
         with self.lock:
             self.runs[request_id] += 1
             self.by_body[body] += 1
@@ -46,11 +46,11 @@
             return self.runs[request_id]
 
     def report_log(self, request: Request) -> Reply:
-        """Give the runs."""
+        """Return the runs by request id and by body."""
         with self.lock:
             return Reply(value={"runs": dict(self.runs), "by_body": dict(self.by_body)})
 
     def report_counts(self, request: Request) -> Reply:
-        """Give the totals."""
+        """Return the number of runs and the peak concurrency."""
         with self.lock:
             return Reply(value={"runs": self.runs.total(), "peak_at_once": self.peak})
--- a/standins/src/mimosaspur_standins/streams.py
+++ b/standins/src/mimosaspur_standins/streams.py
@@ -1,4 +1,4 @@
-"""Do the engine's work: prefill, tokens, cancelling, and streams that can be resumed."""
+"""Run the engine's jobs: prefill, token generation, cancellation and resumable streams."""
 
 import json
 import threading
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class Job:
-    """Hold one request's work and the events of its stream."""
+    """Describe the generation for a request and the events of its stream."""
 
     request_id: str
     resident: Resident
@@ -40,11 +40,11 @@
     ended_ms: float = 0
 
     def ended(self) -> bool:
-        """Tell whether nothing more will come."""
+        """Return whether the job has finished or was cancelled."""
         return self.state in ("finished", "cancelled")
 
     def usage(self) -> dict[str, int]:
-        """Count tokens as the API does."""
+        """Return the token counts in the format of the API."""
         count = len(self.tokens)
         return {
             "prompt_tokens": self.prompt_tokens,
@@ -53,7 +53,7 @@
         }
 
     def envelope(self, kind: str, choice: dict[str, Any]) -> dict[str, Any]:
-        """Give the common shape of an answer."""
+        """Return the fields common to all responses."""
         return {
             "id": self.request_id,
             "object": kind,
@@ -63,24 +63,24 @@
         }
 
     def chunk(self, text: str) -> dict[str, Any]:
-        """Give one token's event."""
+        """Return the event for a token."""
         choice = {"delta": {"role": "assistant", "content": text}, "finish_reason": None}
         return self.envelope("chat.completion.chunk", choice)
 
     def last_chunk(self) -> dict[str, Any]:
-        """Give the event that ends the answer."""
-        frame = self.envelope("chat.completion.chunk", {"delta": {}, "finish_reason": "stop"})
-        return {**frame, "usage": self.usage()}
+        """Return the final event of the stream."""
+        envelope = self.envelope("chat.completion.chunk", {"delta": {}, "finish_reason": "stop"})
+        return {**envelope, "usage": self.usage()}
 
     def full_response(self) -> dict[str, Any]:
-        """Give the answer in one piece."""
+        """Return the response for a request without streaming."""
         message = {"role": "assistant", "content": "".join(self.tokens)}
-        frame = self.envelope("chat.completion", {"message": message, "finish_reason": "stop"})
-        return {**frame, "usage": self.usage()}
+        envelope = self.envelope("chat.completion", {"message": message, "finish_reason": "stop"})
+        return {**envelope, "usage": self.usage()}
 
 
 class Scheduler:
-    """Run work in `slots` slots, first come first served."""
+    """Run up to `slots` jobs concurrently, in FIFO order."""
 
     def __init__(
         self,
@@ -110,159 +110,159 @@
         self.samples: deque[tuple[float, dict[str, int]]] = deque(maxlen=MAX_SAMPLES)
 
     def submit(self, request_id: str, resident: Resident, body: dict[str, Any]) -> Job:
-        """Queue the work of a request; the resident is held until its end."""
+        """Queue a job for a request; the resident stays reserved until the job ends."""
         texts = [message_text(message) for message in body["messages"]]
         limit = body.get("max_tokens")
         tokens = answer_tokens(resident.id, texts[-1], *([] if limit is None else [int(limit)]))
         prompt_tokens = sum(len(text.split()) for text in texts)
-        # Each work has its own condition, so that a token wakes its readers only.
+        # One condition per job, so that a token wakes only the readers of its job.
         changed = threading.Condition(self.lock)
-        work = Job(request_id, resident, texts[0], tokens, prompt_tokens, changed)
+        job = Job(request_id, resident, texts[0], tokens, prompt_tokens, changed)
         with self.lock:
             self.drop_expired()
-            self.jobs[request_id] = work
-            self.queue.append(work)
+            self.jobs[request_id] = job
+            self.queue.append(job)
             self.record_load()
-        threading.Thread(target=self.run, args=(work,), daemon=True).start()
-        return work
+        threading.Thread(target=self.run, args=(job,), daemon=True).start()
+        return job
 
-    def run(self, work: Job) -> None:
-        """Do a piece of work to its end, whether anybody listens or not."""
+    def run(self, job: Job) -> None:
+        """Run a job to its end, whether or not its stream is being read."""
         try:
-            if self.acquire_slot(work):
-                self.generate_tokens(work)
-                self.release_slot(work)
+            if self.acquire_slot(job):
+                self.generate_tokens(job)
+                self.release_slot(job)
         finally:
-            self.residents.release(work.resident)
+            self.residents.release(job.resident)
 
-    def acquire_slot(self, work: Job) -> bool:
-        """Wait for a slot; False when the work was cancelled before."""
+    def acquire_slot(self, job: Job) -> bool:
+        """Wait for a slot; return False if the job was cancelled while queued."""
         with self.lock:
-            work.changed.wait_for(lambda: work.ended() or self.may_start(work))
-            self.queue.remove(work)
-            if not work.ended():
-                work.state = "running"
+            job.changed.wait_for(lambda: job.ended() or self.may_start(job))
+            self.queue.remove(job)
+            if not job.ended():
+                job.state = "running"
                 self.active += 1
-                self.runs[work.request_id] += 1
+                self.runs[job.request_id] += 1
             self.record_load()
             self.notify_next()
-            return not work.ended()
+            return not job.ended()
 
-    def may_start(self, work: Job) -> bool:
-        """Tell whether it is the work's turn; the caller holds the lock."""
-        return self.active < self.slots and self.queue[0] is work
+    def may_start(self, job: Job) -> bool:
+        """Return whether the job may take a slot; the caller must hold the lock."""
+        return self.active < self.slots and self.queue[0] is job
 
-    def generate_tokens(self, work: Job) -> None:
-        """Produce the events at their times until the end or a cancel."""
-        hit = self.cache.lookup(work.resident.id, work.first_text)
+    def generate_tokens(self, job: Job) -> None:
+        """Append the token events at their due times until the end or a cancellation."""
+        hit = self.cache.lookup(job.resident.id, job.first_text)
         due_ms = now_ms() + (self.prefill_ms / CACHE_HIT_SPEEDUP if hit else self.prefill_ms)
-        if self.cancelled_before(work, due_ms):
+        if self.cancelled_before(job, due_ms):
             return
-        self.cache.store(work.resident.id, work.first_text)
-        for token in work.tokens:
-            if self.cancelled_before(work, due_ms):
+        self.cache.store(job.resident.id, job.first_text)
+        for token in job.tokens:
+            if self.cancelled_before(job, due_ms):
                 return
             due_ms += self.token_ms
             with self.lock:
-                work.events.append(work.chunk(token))
+                job.events.append(job.chunk(token))
                 self.rate.add()
-                work.changed.notify_all()
+                job.changed.notify_all()
 
-    def cancelled_before(self, work: Job, due_ms: float) -> bool:
-        """Wait until a time, or for a cancel."""
+    def cancelled_before(self, job: Job, due_ms: float) -> bool:
+        """Wait until the due time; return True if the job is cancelled first."""
         with self.lock:
             wait_s = max(0, due_ms - now_ms()) / MS_PER_SECOND
-            return work.changed.wait_for(work.ended, wait_s)
+            return job.changed.wait_for(job.ended, wait_s)
 
-    def release_slot(self, work: Job) -> None:
-        """End work that ran."""
+    def release_slot(self, job: Job) -> None:
+        """Finish a job that has run and release its slot."""
         with self.lock:
-            if not work.ended():
-                work.events.append(work.last_chunk())
-                self.end(work, "finished")
-                self.finished.append(work.request_id)
+            if not job.ended():
+                job.events.append(job.last_chunk())
+                self.end(job, "finished")
+                self.finished.append(job.request_id)
             self.active -= 1
             self.record_load()
             self.notify_next()
 
-    def end(self, work: Job, state: str) -> None:
-        """Note the end of work; the caller holds the lock."""
-        work.state = state
-        work.ended_ms = now_ms()
-        self.ended.append(work)
-        work.changed.notify_all()
+    def end(self, job: Job, state: str) -> None:
+        """Record the end of a job; the caller must hold the lock."""
+        job.state = state
+        job.ended_ms = now_ms()
+        self.ended.append(job)
+        job.changed.notify_all()
 
     def notify_next(self) -> None:
-        """Let the first in the queue look for a slot; the caller holds the lock."""
+        """Wake the first job in the queue; the caller must hold the lock."""
         if self.queue:
             self.queue[0].changed.notify_all()
 
     def cancel(self, request_id: str) -> bool:
-        """Cancel work; False when it is unknown; ended work stays as it is."""
+        """Cancel a job unless it has ended; return False if it is unknown."""
         with self.lock:
-            work = self.find(request_id)
-            if work is None:
+            job = self.find(request_id)
+            if job is None:
                 return False
-            if not work.ended():
-                self.end(work, "cancelled")
+            if not job.ended():
+                self.end(job, "cancelled")
                 self.cancelled.append(request_id)
             return True
 
     def find(self, request_id: str) -> Job | None:
-        """Find work that runs, or that ended up to 30 s ago."""
+        """Return a job that has not ended, or ended within STREAM_RETENTION_MS."""
         with self.lock:
             self.drop_expired()
             return self.jobs.get(request_id)
 
     def drop_expired(self) -> None:
-        """Drop streams that ended long ago; the caller holds the lock."""
+        """Drop jobs past their retention; the caller must hold the lock."""
         oldest = now_ms() - STREAM_RETENTION_MS
         while self.ended and self.ended[0].ended_ms < oldest:
-            work = self.ended.popleft()
-            # The same request id may have begun again since.
-            if self.jobs.get(work.request_id) is work:
-                del self.jobs[work.request_id]
+            job = self.ended.popleft()
+            # The request id may have been reused by a newer job.
+            if self.jobs.get(job.request_id) is job:
+                del self.jobs[job.request_id]
 
-    def wait(self, work: Job) -> bool:
-        """Wait for the end; tell whether the work finished."""
+    def wait(self, job: Job) -> bool:
+        """Wait for the end; return whether the job finished."""
         with self.lock:
-            work.changed.wait_for(work.ended)
-            return work.state == "finished"
+            job.changed.wait_for(job.ended)
+            return job.state == "finished"
 
-    def stream(self, work: Job, after: int) -> Iterator[bytes]:
-        """Give the server-sent events after number `after`, as they come."""
+    def stream(self, job: Job, after: int) -> Iterator[bytes]:
+        """Yield the server-sent events after number `after` as they are generated."""
         sent = after
         while True:
-            fresh, ended = self.wait_for_events(work, sent)
-            for event in fresh:
+            new_events, ended = self.wait_for_events(job, sent)
+            for event in new_events:
                 sent += 1
                 yield f"id: {sent}\ndata: {json.dumps(event)}\n\n".encode()
             if ended:
                 break
-        if work.state == "finished":
+        if job.state == "finished":
             yield DONE_EVENT
 
-    def wait_for_events(self, work: Job, sent: int) -> tuple[list[dict[str, Any]], bool]:
-        """Wait for events beyond those sent; tell also whether the work ended."""
+    def wait_for_events(self, job: Job, sent: int) -> tuple[list[dict[str, Any]], bool]:
+        """Wait for events beyond those sent; also return whether the job has ended."""
         with self.lock:
-            work.changed.wait_for(lambda: len(work.events) > sent or work.ended())
-            return work.events[sent:], work.ended()
+            job.changed.wait_for(lambda: len(job.events) > sent or job.ended())
+            return job.events[sent:], job.ended()
 
     def record_load(self) -> None:
-        """Note the load; the caller holds the lock."""
+        """Record the current load; the caller must hold the lock."""
         load = {"active": self.active, "waiting": len(self.queue)}
         self.samples.append((now_ms(), load))
 
     def load(self) -> dict[str, int]:
-        """Give the load as it was some time ago."""
-        seen_until = now_ms() - self.load_lag_ms
+        """Return the load as it was `load_lag_ms` ago."""
+        visible_until_ms = now_ms() - self.load_lag_ms
         with self.lock:
-            seen = (load for at_ms, load in reversed(self.samples) if at_ms <= seen_until)
+            seen = (load for at_ms, load in reversed(self.samples) if at_ms <= visible_until_ms)
             load = next(seen, {"active": 0, "waiting": 0})
             return {**load, "slots": self.slots, "tokens_per_second": self.rate.count()}
 
 
 def message_text(message: dict[str, Any]) -> str:
-    """Give the text of a message; content in parts counts as its JSON."""
+    """Return the text of a message; content in parts is returned as JSON."""
     content = message["content"]
     return content if isinstance(content, str) else json.dumps(content)
--- a/standins/src/mimosaspur_standins/weightstore.py
+++ b/standins/src/mimosaspur_standins/weightstore.py
@@ -1,4 +1,4 @@
-"""Stand in for the weight store."""
+"""Simulate the weight store."""
 
 import threading
 
@@ -13,22 +13,22 @@
 
 
 class SharedBandwidth:
-    """Let loads pass; more than `at_once` together share the speed of `at_once`."""
+    """Share bandwidth between loads; up to `full_speed_loads` of them run at full speed."""
 
     def __init__(self, *, full_speed_loads: int) -> None:
         self.full_speed_loads = full_speed_loads
         self.changed = threading.Condition()
         self.running = 0
         self.peak = 0
-        self.progress_ms = 0.0  # the work each running load has done since the start
+        self.progress_ms = 0.0  # total progress per load since the start
         self.updated_ms = now_ms()
 
     def speed(self) -> float:
-        """Tell the part of full speed that each running load has."""
+        """Return the fraction of full speed at which each load runs."""
         return min(1.0, self.full_speed_loads / max(1, self.running))
 
     def advance(self, change: int) -> None:
-        """Bring the work up to now and change the number of loads; the caller holds the lock."""
+        """Update the progress and the number of loads; the caller must hold the lock."""
         now = now_ms()
         self.progress_ms += (now - self.updated_ms) * self.speed()
         self.updated_ms = now
@@ -38,7 +38,7 @@
             self.changed.notify_all()
 
     def load(self, duration_ms: float) -> None:
-        """Wait for a load that takes `duration_ms` undisturbed."""
+        """Wait for a load that takes `duration_ms` at full speed."""
         with self.changed:
             self.advance(1)
             end_ms = self.progress_ms + duration_ms
@@ -50,7 +50,7 @@
 
 
 class WeightStore(StandIn):
-    """Serve weights at a limited speed."""
+    """Serve weights with limited rate and bandwidth."""
 
     def __init__(
         self, *, name: str, address: str, loads_per_second: int, at_once: int, ms_per_gb: float
@@ -69,7 +69,7 @@
         self.route("POST", "/limits", self.set_limits)
 
     def set_limits(self, request: Request) -> Reply:
-        """Change the rate for the harness; 0 is no limit."""
+        """Set the rate limit; 0 means no limit."""
         with self.lock:
             self.loads_per_second = int(request.json_object()["loads_per_second"])
         return Reply()
@@ -78,14 +78,14 @@
         """Serve one load."""
         memory_mb = request.query_int("memory_mb")
         if not self.admit():
-            return Reply(429, {"error": "over the rate, try again later"})
+            return Reply(429, {"error": "rate limit exceeded, retry later"})
         self.bandwidth.load(memory_mb / MB_PER_GB * self.ms_per_gb)
         with self.lock:
             self.finished += 1
         return Reply(value={"id": request.name, "memory_mb": memory_mb})
 
     def admit(self) -> bool:
-        """Count a load and tell whether the rate allows it."""
+        """Count a load and return whether the rate limit admits it."""
         with self.lock:
             allowed = self.window.allow(self.loads_per_second)
             self.starts += allowed
@@ -93,7 +93,7 @@
             return allowed
 
     def report(self, request: Request) -> Reply:
-        """Give the counts."""
+        """Return the counts."""
         with self.lock:
             counts = {
                 "starts": self.starts,
