--- a/features/harness/drain_world.py
+++ b/features/harness/drain_world.py
@@ -57,7 +57,7 @@
             good = reply.status == 200 and reply.json()["echo"] == content
         else:
             reply = chat_call(self.address, self.name, content, max_tokens=TOKENS).wait()
-            good = reply.whole() and self._versioned(reply, content)
+            good = reply.is_complete() and self._versioned(reply, content)
         if not good:
             self.failures.append((reply.status, reply.body, reply.broken))
 
--- a/features/steps/application_steps.py
+++ b/features/steps/application_steps.py
@@ -48,7 +48,7 @@
 @when("another thread of it takes the signal")
 def run_application(context: Context) -> None:
     application: Application = context.application
-    rescue = threading.Timer(GIVEN_UP_S, application.asked_to_stop.put, (None,))
+    rescue = threading.Timer(GIVEN_UP_S, application.stop_requests.put, (None,))
     rescue.daemon = True
     began_s = time.monotonic()
     context.sender.start()
--- a/features/steps/atmostonce_key_steps.py
+++ b/features/steps/atmostonce_key_steps.py
@@ -116,7 +116,7 @@
             desk.book(f"{key} {row['fault']}", key=f"{key}-{row['fault']}").wait()
             check_error(desk.last(), "PLATFORM_DOWN", "not_run")
             assert int(desk.last().headers["retry-after"]) >= 1
-            took_ms = desk.bookings[-1].call.took_ms()
+            took_ms = desk.bookings[-1].call.duration_ms()
             assert took_ms <= int(row[key]), (row["fault"], key, took_ms)
         order_claims_fault(context, "nothing")
         for key in ("first", "second"):
@@ -204,7 +204,7 @@
     for booking, reply in refused:
         check_error(reply, name, "not_run")
         assert reply.headers["retry-after"]
-        assert booking.call.took_ms() < AT_ONCE_MS, booking.call.took_ms()
+        assert booking.call.duration_ms() < AT_ONCE_MS, booking.call.duration_ms()
 
 
 @when("the second target is killed")
@@ -216,7 +216,7 @@
 def check_all_refused(context: Context, name: str) -> None:
     for booking in context.group:
         check_error(booking.wait(), name, "not_run")
-        assert booking.call.took_ms() < AT_ONCE_MS, booking.call.took_ms()
+        assert booking.call.duration_ms() < AT_ONCE_MS, booking.call.duration_ms()
 
 
 @then("each that was answered ran once and no other")
--- a/features/steps/bundles_steps.py
+++ b/features/steps/bundles_steps.py
@@ -197,7 +197,9 @@
     address = site.daemons[entry].public
     reply = chat_call(address, "notes", "which", max_tokens=TOKENS).wait()
     for version in range(30):
-        if reply.whole() and reply.text() == expected_answer(f"notes@{version}", "which", TOKENS):
+        if reply.is_complete() and reply.text() == expected_answer(
+            f"notes@{version}", "which", TOKENS
+        ):
             return version
     return None
 
--- a/features/steps/refusals_steps.py
+++ b/features/steps/refusals_steps.py
@@ -102,7 +102,7 @@
         reply, error = asked.wait(), asked.wait().error()
         assert (error["name"], error["outcome"]) == (name, "not_run"), error
         assert int(reply.headers["retry-after"]) >= 1
-        assert asked.took_ms() < bound, (asked.took_ms(), error)
+        assert asked.duration_ms() < bound, (asked.duration_ms(), error)
 
 
 @then("none of the refused ran at the engines")
