--- a/features/answers.feature
+++ b/features/answers.feature
@@ -1,5 +1,5 @@
 Feature: Every caller gets its own whole answer
-  Connections, processes and engines break in the middle of answers.
+  Guards against truncated, repeated or mixed-up answers when connections or processes fail.
 
   Background:
     Given a site for long answers with two entries and the target "model-0"
--- a/features/answers_end.feature
+++ b/features/answers_end.feature
@@ -1,5 +1,5 @@
 Feature: What can't be completed ends, and never looks whole
-  Callers leave, and entries and engines die in the middle of answers.
+  Guards against partial answers that look complete and against abandoned work that keeps running.
 
   Background:
     Given a site for long answers with two entries and the target "model-0"
--- a/features/callers.feature
+++ b/features/callers.feature
@@ -1,6 +1,6 @@
 Feature: Callers reach the entry over HTTP
-  Bad input never reaches the dispatcher, whole answers are whole, cut answers never look whole,
-  and one caller can't hold up another.
+  Guards against invalid input reaching the dispatcher, truncated answers that look complete, and
+  callers that block others.
 
   Background:
     Given a caller server
--- a/features/harness/caller.py
+++ b/features/harness/caller.py
@@ -1,4 +1,4 @@
-"""Call an entry as a caller does."""
+"""Send requests to an entry over HTTP, as callers do."""
 
 import contextlib
 import http.client
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """Hold a reply as far as it came; broken tells that the connection broke."""
+    """Reply as far as received; `broken` is set if the connection broke."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
@@ -29,18 +29,18 @@
         return json.loads(self.body)
 
     def events(self) -> list[str]:
-        """Return the data of a streamed answer's events."""
+        """Return the data of each event of a streamed answer."""
         blocks = self.body.decode().split("\n\n")
         return [block.removeprefix("data: ") for block in blocks if block.startswith("data: ")]
 
     def text(self) -> str:
-        """Return the answer's text, whole or streamed as far as it came."""
+        """Return the answer's text, or as much of a streamed answer as was received."""
         if self.headers.get("content-type", "").startswith("text/event-stream"):
             return "".join(_delta(event) for event in self.events() if event != DONE)
         return str(self.json()["choices"][0]["message"]["content"])
 
     def is_complete(self) -> bool:
-        """Tell whether it says itself that it is whole."""
+        """Return whether the reply succeeded and, if streamed, ended with [DONE]."""
         if self.broken or self.status != 200:
             return False
         if self.headers.get("content-type", "").startswith("text/event-stream"):
@@ -48,7 +48,7 @@
         return True
 
     def error(self) -> dict[str, Any]:
-        """Return the error object of the body or of the last event."""
+        """Return the error object of the body or, if streamed, of the last event."""
         if self.headers.get("content-type", "").startswith("text/event-stream"):
             found: dict[str, Any] = json.loads(self.events()[-1])["error"]
             return found
@@ -62,7 +62,7 @@
 
 
 class Call:
-    """Run one request in a thread; `reply` fills as the answer comes."""
+    """Run one request in a thread; `reply` is filled as data arrives."""
 
     def __init__(
         self, address: str, method: str, path: str, body: bytes, headers: dict[str, str]
@@ -77,21 +77,21 @@
         self.thread.start()
 
     def wait(self) -> Reply:
-        """Return the reply once it has ended, within a bound."""
+        """Return the finished reply; fail after a timeout."""
         self.thread.join(CALL_TIMEOUT_S + 5)
-        assert not self.thread.is_alive(), f"no end to {self.request[:2]}"
+        assert not self.thread.is_alive(), f"no reply to {self.request[:2]} within the timeout"
         return self.reply
 
     def duration_ms(self) -> float:
-        """Return how long it took until the reply had ended."""
+        """Return the time until the reply had ended."""
         self.wait()
         return (self.ended_at - self.sent_at) * MS_PER_S
 
     def disconnect(self) -> None:
-        """Close the caller's connection at once."""
+        """Close the caller's connection immediately."""
         sock = self.connection.sock
         if sock:
-            # Closing alone sends nothing while the reading thread still uses the socket.
+            # close() sends no FIN while the reading thread still uses the socket; shutdown() does.
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
         self.connection.close()
@@ -121,7 +121,7 @@
     stream: bool = False,
     headers: dict[str, str] | None = None,
 ) -> Call:
-    """Send a chat request."""
+    """Start a chat request."""
     body = {
         "model": model,
         "messages": [{"role": "user", "content": content}],
@@ -135,7 +135,7 @@
 def service_call(
     address: str, service: str, body: str, *, headers: dict[str, str] | None = None
 ) -> Call:
-    """Send a call to a plain service."""
+    """Start a request to a plain service."""
     path = f"/services/{service}/run"
     sent = {"Content-Type": "text/plain", **(headers or {})}
     return Call(address, "POST", path, body.encode(), sent)
--- a/features/harness/callers_world.py
+++ b/features/harness/callers_world.py
@@ -1,4 +1,4 @@
-"""Stand in for the dispatcher and the callers of an entry."""
+"""Provide a fake dispatcher and raw HTTP callers for tests of the caller server."""
 
 import http.client
 import json
@@ -33,7 +33,7 @@
 VALID_BODY = json.dumps(VALID_REQUEST).encode()
 FINAL_EVENT = b"data: [DONE]\n\n"
 NONE = "(none)"
-TIMEOUT_MESSAGE = "the condition did not come true in time"
+TIMEOUT_MESSAGE = "the condition was not met within the timeout"
 
 wait_for = partial(
     control.wait_for, what=TIMEOUT_MESSAGE, bound_s=TIMEOUT_S, poll_s=POLL_INTERVAL_S
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class FakeDispatcher:
-    """Record what it is handed and answer as told."""
+    """Record dispatched work and answer as configured by the test."""
 
     chunks: int = 1
     failure: MimosaspurError | Exception | None = None
@@ -57,7 +57,7 @@
     closed_count: int = 0
 
     def dispatch(self, work: Work, deadline_ms: int, gone: Callable[[], bool]) -> Answer:
-        """Record the work, and begin an answer or refuse."""
+        """Record the work, then start an answer or raise the refusal."""
         self.dispatched.append((work, deadline_ms))
         if self.refusal:
             raise self.refusal
@@ -65,15 +65,15 @@
         return Answer(200, kind, self.replayed, self._run(gone))
 
     def models(self) -> list[ModelCard]:
-        """Return two models."""
+        """Return a model and an adapter of it."""
         return [ModelCard("llama", "1", ""), ModelCard("llama-es", "2", "llama")]
 
     def generation(self) -> int:
-        """Return the generation in force."""
+        """Return the current generation."""
         return 1
 
     def ready(self) -> bool:
-        """Tell what the test set."""
+        """Return the readiness set by the test."""
         return self.is_ready
 
     def _run(self, gone: Callable[[], bool]) -> Iterator[bytes]:
@@ -92,7 +92,7 @@
         while self.endless:
             yield b"x" * 1000
         if not self.release.wait(TIMEOUT_S):
-            raise AssertionError("the test never let the answer go")
+            raise AssertionError("the test did not release the answer")
         if self.failure:
             raise self.failure
         yield FINAL_EVENT
@@ -172,11 +172,11 @@
 
 
 def read_response(context: Context) -> None:
-    # Read unbuffered, so that one answer leaves the next one on the connection.
+    # Read unbuffered so that the next answer's bytes stay on the connection.
     head = b""
     while not head.endswith(b"\r\n\r\n"):
         byte = context.sock.recv(1)
-        assert byte, "the connection closed within an answer's head"
+        assert byte, "the connection closed before the end of an answer's headers"
         head += byte
     lines = head.decode().lower().split("\r\n")
     length = next(int(line.split(":")[1]) for line in lines if line.startswith("content-length"))
--- a/features/harness/reach_world.py
+++ b/features/harness/reach_world.py
@@ -1,4 +1,4 @@
-"""Sample every served name of a site while something happens to it."""
+"""Sample every served name of a site during rolls and faults."""
 
 import time
 from dataclasses import dataclass
@@ -19,25 +19,29 @@
 
 
 def parse_models(text: str) -> list[dict[str, Any]]:
-    """Read "a@1:500:p3+x@1:50 b@1:300" as models with adapters."""
+    """Parse "a@1:500:p3+x@1:50 b@1:300" into models with adapters.
+
+    A model is NAME@VERSION:MB, then p and its priority or r and its replica count; "+" adds an
+    adapter.
+    """
     return [_parse_model(item) for item in text.split()]
 
 
 def served_names(text: str) -> list[str]:
-    """Return the served names of a bundle written so."""
-    found = []
+    """Return the served names of a bundle in this notation."""
+    result = []
     for entry in parse_models(text):
-        found += [entry["name"], *(adapter["name"] for adapter in entry.get("adapters", ()))]
-    return found
+        result += [entry["name"], *(adapter["name"] for adapter in entry.get("adapters", ()))]
+    return result
 
 
 def residents_by_name(text: str) -> dict[str, str]:
-    """Return the resident that each served name stands for."""
-    found = {}
+    """Return the resident behind each served name."""
+    result = {}
     for entry in parse_models(text):
         for part in (entry, *entry.get("adapters", ())):
-            found[part["name"]] = f"{part['name']}@{part['version']}"
-    return found
+            result[part["name"]] = f"{part['name']}@{part['version']}"
+    return result
 
 
 def _parse_model(text: str) -> dict[str, Any]:
@@ -47,19 +51,19 @@
     extra: dict[str, Any] = {kinds[option[0]]: int(option[1:]) for option in options}
     if adapters:
         extra["adapters"] = [_parse_adapter(item) for item in adapters]
-    plain, _, version = name.partition("@")
-    return model(plain, version=version, mb=int(mb), **extra)
+    base_name, _, version = name.partition("@")
+    return model(base_name, version=version, mb=int(mb), **extra)
 
 
 def _parse_adapter(text: str) -> dict[str, Any]:
     name, _, mb = text.partition(":")
-    plain, _, version = name.partition("@")
-    return {"name": plain, "version": version, "memory_mb": int(mb)}
+    base_name, _, version = name.partition("@")
+    return {"name": base_name, "version": version, "memory_mb": int(mb)}
 
 
 @dataclass(slots=True)
 class Sampler:
-    """Ask for served names without a pause until stopped; keep what failed."""
+    """Request each served name continuously until stopped, and record the failures."""
 
     site: Site
     entry: str
@@ -70,22 +74,22 @@
     started_at: float = 0.0
 
     def start(self) -> None:
-        """Start one task for each name."""
+        """Start one thread per name."""
         self.started_at = time.monotonic()
         self.request_counts = dict.fromkeys(self.allowed_residents, 0)
         for name in self.allowed_residents:
-            ask = partial(self._send_request, name)
-            self.repeaters.append(Steady(ask, pause_s=SAMPLE_INTERVAL_S, end_s=CALL_TIMEOUT_S))
+            send = partial(self._send_request, name)
+            self.repeaters.append(Steady(send, pause_s=SAMPLE_INTERVAL_S, end_s=CALL_TIMEOUT_S))
 
     def stop(self) -> None:
-        """End the samples; return when the last answer is in."""
+        """Stop sampling and wait for the last answers."""
         for steady in self.repeaters:
             steady.over.set()
         for steady in self.repeaters:
             steady.stop()
 
     def all_counts_exceed(self, count: int) -> bool:
-        """Tell whether each name was asked for more often."""
+        """Return whether each name was requested more than `count` times."""
         return min(self.request_counts.values()) > count
 
     def _send_request(self, name: str) -> None:
@@ -93,22 +97,22 @@
         self.request_counts[name] += 1
         content = f"{name} {self.request_counts[name]}"
         reply = chat_call(address, name, content, max_tokens=SAMPLE_TOKENS).wait()
-        wanted = [
+        allowed = [
             expected_answer(it, content, SAMPLE_TOKENS) for it in self.allowed_residents[name]
         ]
-        if not reply.is_complete() or reply.text() not in wanted:
+        if not reply.is_complete() or reply.text() not in allowed:
             at_ms = round((time.monotonic() - self.started_at) * 1000)
             self.failures.append(f"{at_ms} ms {name}: {reply.status} {reply.body[:200]!r}")
 
 
 def engine_logs(site: Site) -> dict[str, Any]:
-    """Return what the engines that still run have seen."""
+    """Return the logs of the engines that still run."""
     running = [name for name, item in site.engines.items() if item.process.poll() is None]
     return {name: site.engine_log(name) for name in running}
 
 
 def is_roll_complete(site: Site, bundle: str) -> bool:
-    """Tell whether records and engines hold just what the bundle names."""
+    """Return whether records and engines hold exactly the bundle's residents."""
     for entry in parse_models(bundle):
         states = site.replicas(entry["name"])
         versions = {key.split()[1] for key in states}
--- a/features/reachability.feature
+++ b/features/reachability.feature
@@ -1,5 +1,5 @@
 Feature: Reachability
-  Every model and adapter of the bundle in force answers, whatever is rolled and whatever is lost.
+  Guards against models or adapters becoming unreachable while a bundle is rolled.
 
   Scenario Outline: A roll keeps every name answering: <case>
     Given a reach site with engines of <engines> MB and the policy <policy>
--- a/features/reachability_losses.feature
+++ b/features/reachability_losses.feature
@@ -1,5 +1,6 @@
 Feature: Losses
-  What a lost process, engine or failure domain held is loaded elsewhere, the most urgent first.
+  Guards against residents of a lost process, engine or failure domain not being reloaded, or being
+  reloaded out of priority order.
 
   Scenario Outline: What was lost is loaded again: <loss>
     Given a reach site with engines of 1000, 1000 MB and the policy normal
--- a/features/reachability_memory.feature
+++ b/features/reachability_memory.feature
@@ -1,5 +1,6 @@
 Feature: Memory through the whole path
-  Whatever becomes of orders and of the process beside an engine, no accelerator is overcommitted.
+  Guards against overcommitted accelerator memory when orders are late, repeated or lost, and when
+  target processes restart.
 
   Scenario Outline: Two bundles are rolled while orders suffer <fault> and <event>
     Given a reach site of two 1000 MB engines that ignore fencing tokens
--- a/features/silence.feature
+++ b/features/silence.feature
@@ -1,5 +1,6 @@
 Feature: Connections that go silent for good
-  Something between two ends loses track of their connections while new ones work.
+  Guards against hung requests when a middlebox drops connection state: open connections stop
+  delivering data without closing, while new ones work.
 
   Background:
     Given a site whose every connection runs through a relay
--- a/features/steps/answers_steps.py
+++ b/features/steps/answers_steps.py
@@ -1,4 +1,4 @@
-"""Steps that break connections and processes in the middle of answers."""
+"""Steps that break connections and processes during answers."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -28,7 +28,7 @@
 SLOTS = 8
 KEEP_ANSWER_MS = 4000
 ENGINE_SILENT_MS = 600
-# A restarted process needs up to a few seconds on a busy machine.
+# Restarting a process can take a few seconds on a busy machine.
 SLOW_RESTART_PEERS = {**QUICK_PEERS, "silent_ms": 1500}
 
 
@@ -46,7 +46,7 @@
 
 
 def start_long_target(site: Site, name: str) -> None:
-    """Start a target whose connections to both sides can be broken."""
+    """Start a target with relays on its connections to entries and to its engine."""
     site.model_target(
         name,
         engine_options=("--token-ms", "15", "--slots", str(SLOTS)),
@@ -85,7 +85,7 @@
 
 
 def ask_and_break(context: Context, kind: str, fault: str, tokens: int) -> None:
-    """Ask for an answer of so many tokens and break something in its middle."""
+    """Request an answer of `tokens` tokens and apply a fault while it runs."""
     context.call = long_call(context.site, "entry-0", CONTENT, kind == "streamed", tokens=tokens)
     wait_until_partial(context, context.call, 1)
     FAULTS[fault](context, context.call)
@@ -94,42 +94,42 @@
 def long_call(
     site: Site, entry: str, content: str, stream: bool, *, tokens: int = LONG_ANSWER_TOKENS
 ) -> Call:
-    """Ask for a long answer."""
+    """Request a long answer."""
     address = site.daemons[entry].public
     return chat_call(address, MODEL, content, max_tokens=tokens, stream=stream)
 
 
 def all_run_ids(site: Site) -> set[str]:
-    """Return the ids of all runs at the engines that live."""
+    """Return the ids of all runs at the running engines."""
     logs = [site.engine_log(name) for name in site.engines if is_engine_running(site, name)]
     return {run for log in logs for run in log["runs"]}
 
 
 def is_engine_running(site: Site, engine: str) -> bool:
-    """Tell whether an engine has not been killed."""
+    """Return whether an engine's process is running."""
     return site.engines[engine].process.poll() is None
 
 
 def new_run_ids(context: Context) -> set[str]:
-    """Return the runs since the site was ready."""
+    """Return the ids of the runs started since `context.earlier` was recorded."""
     return all_run_ids(context.site) - set(context.earlier)
 
 
 def wait_until_partial(context: Context, call: Call, runs: int) -> None:
-    """Wait until a streamed answer has come in part, and any answer has begun."""
-    wait_for(lambda: len(new_run_ids(context)) >= runs, "the answer runs")
+    """Wait until the answer runs and, if streamed, part of it has been received."""
+    wait_for(lambda: len(new_run_ids(context)) >= runs, "start of the run")
     if b'"stream": true' in call.request[2]:
         wait_for_more_events(call)
 
 
 def wait_for_more_events(call: Call) -> None:
-    """Wait until some more of a streamed answer has come."""
-    wanted = len(received_events(call.reply)) + MIN_NEW_EVENTS
-    wait_for(lambda: len(received_events(call.reply)) >= wanted, f"{wanted} events")
+    """Wait until more events of a streamed answer have been received."""
+    expected = len(received_events(call.reply)) + MIN_NEW_EVENTS
+    wait_for(lambda: len(received_events(call.reply)) >= expected, f"{expected} events")
 
 
 def received_events(reply: Reply) -> list[bytes]:
-    """Return the events of an answer under way."""
+    """Return the complete events received so far."""
     return reply.body.split(b"\n\n")[:-1]
 
 
@@ -200,11 +200,11 @@
 
 
 def check_complete_answer(call: Call, content: str, *, case: Sequence[str] = ()) -> None:
-    """Check that an answer is whole and the one to this content."""
+    """Check that an answer is complete and belongs to this content."""
     reply = call.wait()
     assert reply.is_complete(), (case, content, reply.status, reply.broken, reply.body[-600:])
-    wanted = expected_answer(f"{MODEL}@1", content, LONG_ANSWER_TOKENS)
-    assert reply.text() == wanted, (case, content, reply.text())
+    expected = expected_answer(f"{MODEL}@1", content, LONG_ANSWER_TOKENS)
+    assert reply.text() == expected, (case, content, reply.text())
 
 
 @then("the caller sees a broken connection")
@@ -232,7 +232,7 @@
 
 
 def is_run_cancelled(site: Site, run: str) -> bool:
-    """Tell whether a run was cancelled at the engine."""
+    """Return whether the engine cancelled a run."""
     return run in site.engine_log("model-0")["cancelled"]
 
 
@@ -243,7 +243,7 @@
     for call in context.calls:
         wait_until_partial(context, call, SLOTS)
     waiting = long_call(site, "entry-0", "nobody's", True)
-    wait_for(lambda: waiting.connection.sock is not None, "the caller has connected")
+    wait_for(lambda: waiting.connection.sock is not None, "the caller's connection")
     disconnect_caller(context, waiting)
 
 
@@ -251,7 +251,7 @@
 def check_never_ran(context: Context) -> None:
     for number, call in enumerate(context.calls):
         check_complete_answer(call, f"gate {number}")
-    # Whatever had been admitted in its place would run before this one.
+    # If the abandoned request had been admitted, it would run before this one.
     check_complete_answer(long_call(context.site, "entry-1", CONTENT, True), CONTENT)
     assert len(new_run_ids(context)) == SLOTS + 1, new_run_ids(context)
 
--- a/features/steps/callers_steps.py
+++ b/features/steps/callers_steps.py
@@ -1,4 +1,4 @@
-"""Drive the callers' side of the entry against a dispatcher that does as told."""
+"""Steps that send requests to the caller server in front of a fake dispatcher."""
 
 import http.client
 import json
@@ -141,8 +141,8 @@
     if body in special or not body.startswith("("):
         send_request(context, "POST", CHAT, special.get(body, body.encode()))
         return
-    post = f"POST {CHAT} HTTP/1.1\r\nHost: e\r\n"
-    chunked = post + "Transfer-Encoding: chunked"
+    post_head = f"POST {CHAT} HTTP/1.1\r\nHost: e\r\n"
+    chunked = post_head + "Transfer-Encoding: chunked"
     size = 2 * MAX_BODY_BYTES
     match body:
         case "(over the limit, chunked)":
@@ -150,11 +150,11 @@
         case "(bad chunk size)":
             send_raw_request(context, chunked, b"zz\r\n")
         case "(shorter than its length)":
-            send_raw_request(context, post + "Content-Length: 1000", VALID_BODY, finish=True)
+            send_raw_request(context, post_head + "Content-Length: 1000", VALID_BODY, finish=True)
         case "(length and chunked)":
             send_raw_request(context, chunked + "\r\nContent-Length: 5", b"0\r\n\r\n")
         case "(negative length)":
-            send_raw_request(context, post + "Content-Length: -5", b"")
+            send_raw_request(context, post_head + "Content-Length: -5", b"")
         case _:
             raise AssertionError(f"no such body: {body}")
 
--- a/features/steps/callers_then_steps.py
+++ b/features/steps/callers_then_steps.py
@@ -1,4 +1,4 @@
-"""Check what callers and the dispatcher of an entry saw."""
+"""Steps that check what the caller server sent to callers and to the dispatcher."""
 
 import http.client
 import json
@@ -63,17 +63,17 @@
 
 @then("the caller gets all {chunks:d} chunks by {framing}")
 def then_all(context: Context, chunks: int, framing: str) -> None:
-    whole = expected_chunks(chunks) + FINAL_EVENT
+    complete_body = expected_chunks(chunks) + FINAL_EVENT
     assert context.response.status == 200
-    assert context.complete and context.body == whole, context.body
+    assert context.complete and context.body == complete_body, context.body
     length = context.response.headers["Content-Length"]
-    assert length == (str(len(whole)) if framing == "Content-Length" else None), length
+    assert length == (str(len(complete_body)) if framing == "Content-Length" else None), length
 
 
 @then("the caller gets two whole answers")
 def then_two(context: Context) -> None:
-    whole = expected_chunks(context.dispatcher.chunks) + FINAL_EVENT
-    assert context.answers == [("http/1.1 200 ok", whole)] * 2, context.answers
+    complete_body = expected_chunks(context.dispatcher.chunks) + FINAL_EVENT
+    assert context.answers == [("http/1.1 200 ok", complete_body)] * 2, context.answers
 
 
 @then("the caller sees header {name}: {value}")
@@ -90,15 +90,15 @@
     error = json.loads(event.removeprefix(b"data: "))["error"]
     assert error["name"] == name, error
     assert b"[DONE]" not in context.body
-    assert not context.complete, "the chunked encoding was closed as if whole"
+    assert not context.complete, "the chunked encoding was terminated as if complete"
 
 
 @then("the caller sees Retry-After {header} and retry_after_ms {body}")
 def then_retry(context: Context, header: str, body: str) -> None:
-    seen = context.response.headers.get("Retry-After", NONE)
-    assert seen == header, seen
-    seen_ms = str(response_error(context).get("retry_after_ms", NONE))
-    assert seen_ms == body, seen_ms
+    retry_after = context.response.headers.get("Retry-After", NONE)
+    assert retry_after == header, retry_after
+    retry_after_ms = str(response_error(context).get("retry_after_ms", NONE))
+    assert retry_after_ms == body, retry_after_ms
 
 
 @then("the caller sees the models {names}")
@@ -120,19 +120,19 @@
 
 @then("the caller server answers {status:d} at {path}")
 def then_state(context: Context, status: int, path: str) -> None:
-    began = time.monotonic()
-    kept = (context.response, context.body) if "response" in context else None
+    started_at = time.monotonic()
+    saved = (context.response, context.body) if "response" in context else None
     send_request(context, "GET", path)
     assert context.response.status == status, context.response.status
-    assert time.monotonic() - began < CALLER_TIMEOUT_MS / 1000
-    if kept:
-        context.response, context.body = kept
+    assert time.monotonic() - started_at < CALLER_TIMEOUT_MS / 1000
+    if saved:
+        context.response, context.body = saved
 
 
 @then("the caller server closes the silent connections")
 def then_silent_closed(context: Context) -> None:
     for sock in context.silent:
-        assert sock.recv(1) == b"", "a silent connection got an answer"
+        assert sock.recv(1) == b"", "a silent connection received data"
 
 
 @then("the caller server refuses new connections")
@@ -151,18 +151,18 @@
 def then_let_go(context: Context) -> None:
     assert context.stopper.is_alive(), "the stop did not wait for the stream"
     context.dispatcher.release.set()
-    rest = context.stream.read()
-    assert rest == b"\n" + FINAL_EVENT, rest
+    remainder = context.stream.read()
+    assert remainder == b"\n" + FINAL_EVENT, remainder
 
 
 @then("the caller that had begun sees no end of the stream")
 def then_given_up(context: Context) -> None:
     try:
-        rest = context.stream.read()
+        remainder = context.stream.read()
     except http.client.IncompleteRead as error:
         assert FINAL_EVENT not in error.partial, error.partial
     else:
-        raise AssertionError(f"the stream ended as if whole: {rest!r}")
+        raise AssertionError(f"the stream ended as if complete: {remainder!r}")
 
 
 @then("the caller server's threads end")
--- a/features/steps/reachability_records_steps.py
+++ b/features/steps/reachability_records_steps.py
@@ -1,4 +1,4 @@
-"""Steps of targets that leave a placement record at the same time."""
+"""Steps for targets that remove themselves from a placement record concurrently."""
 
 from collections.abc import Callable
 from functools import partial
@@ -43,7 +43,7 @@
         target: StoredObject(key, version, record.to_value()) for target in LEAVING_TARGETS
     }
     if alone:
-        # The copy that a paused planner's write would have made, had it not been refused.
+        # What the record would be if a paused planner's stale write had succeeded.
         wrong = PlacementRecord("a", 1, (_ready("t1"), *_leaving("t2")))
         context.copies["t2"] = StoredObject(key, version, wrong.to_value())
 
--- a/features/steps/reachability_steps.py
+++ b/features/steps/reachability_steps.py
@@ -1,4 +1,4 @@
-"""Steps of reachability: rolls without spare room, losses, and the weight store's limits."""
+"""Steps for reachability during rolls and losses, and for the weight store's limits."""
 
 import time
 from functools import partial
@@ -86,11 +86,11 @@
 def sample_a_roll(context: Context, bundle: str) -> None:
     site = context.site
     first, second = residents_by_name(context.bundle), residents_by_name(bundle)
-    # A name that only the new bundle has is not there before it is loaded.
-    may_be = {name: {first[name], it} for name, it in second.items() if name in first}
+    # A name that only the new bundle has can't answer before it is loaded.
+    may_be = {name: {first[name], each} for name, each in second.items() if name in first}
     sampler = Sampler(site, "entry-0", may_be)
     context.sampler = sampler
-    # Loads take their time, so that a gap shows in the samples.
+    # Loads are slowed down so that samples would reveal a gap.
     add_fault(site.weights, "slow", match="/weights/", delay_ms=LOAD_DELAY_MS)
     sampler.start()
     site.roll("second", parse_models(bundle))
@@ -173,7 +173,7 @@
         orders += log["orders"][context.loads_before[name] :]
     orders = sorted((it for it in orders if it["kind"] == "load"), key=lambda it: it["at_ms"])
     loaded = [order["id"].partition("@")[0] for order in orders]
-    # Names are in the order of priority; loads given together may swap.
+    # Names sort in order of priority; loads placed together may swap places.
     ranks = [sorted(context.lost).index(name) for name in loaded]
     assert len(ranks) > at_once, (context.lost, loaded)
     assert all(abs(rank - place) < at_once for place, rank in enumerate(ranks)), loaded
@@ -200,7 +200,7 @@
         add_fault(engine.address, fault, match=match, count=1, delay_ms=ORDER_DELAY_MS)
     site.roll("second", parse_models(second))
     for name, engine in site.engines.items():
-        wait_for(partial(_fault_applied, engine.address, 1), f"an order to {name} suffers {fault}")
+        wait_for(partial(_fault_applied, engine.address, 1), f"{fault} fault on an order to {name}")
     if event == "its processes restart":
         for name in site.engines:
             site.kill(name)
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -1,4 +1,4 @@
-"""Steps that make open connections silent for good while new ones work."""
+"""Steps that freeze open connections permanently while new ones work."""
 
 import http.client
 import json
@@ -53,7 +53,7 @@
     site.service_target(
         "dispatch-0", SERVICE, options=options, service_relay=True, relay=True, api=api
     )
-    # One entry alone faces silent callers, so its few workers can be counted.
+    # Only this entry gets silent callers, and it has few workers, so leaked ones show.
     site.entry(
         "entry-0",
         api=api,
@@ -77,21 +77,21 @@
         callers = [SILENT_CALLERS[silence](entry) for _ in range(MAX_IN_FLIGHT - 1)]
         check_served(site, "entry-0", "notes@1", silence)
         callers.append(SILENT_CALLERS[silence](entry))
-        # All slots are free at the same time again only if every silent caller is let go of.
-        wait_for(partial(serves_at_once, site, MAX_IN_FLIGHT), f"{silence}: room for all again")
+        # All slots become free at once only if every silent caller was disconnected.
+        wait_for(partial(serves_at_once, site, MAX_IN_FLIGHT), f"{silence}: all slots free")
         for sock in callers:
             sock.close()
 
 
 def serves_at_once(site: Site, count: int) -> bool:
-    """Tell whether an entry serves so many callers together."""
+    """Return whether an entry serves `count` concurrent callers."""
     address = site.daemons["entry-0"].public
     calls = [chat_call(address, "notes", f"at once {n}", max_tokens=300) for n in range(count)]
     return all(call.wait().is_complete() for call in calls)
 
 
 def check_served(site: Site, entry: str, resident: str, case: str) -> None:
-    """Check that one request gets its whole answer."""
+    """Check that a request gets its complete answer."""
     name = resident.partition("@")[0]
     reply = chat_call(site.daemons[entry].public, name, case, max_tokens=MAX_TOKENS).wait()
     assert reply.is_complete(), (case, reply.status, reply.body)
@@ -99,10 +99,10 @@
 
 
 def send_and_stay_silent(data: bytes, entry: Daemon) -> socket.socket:
-    """Connect as a caller, send some bytes and do nothing more."""
+    """Connect as a caller, send some bytes, and neither send nor read any more."""
     host, _, port = entry.public.rpartition(":")
     sock = socket.socket()
-    # So little room that the answer soon has nowhere to go.
+    # A small receive buffer, so that a long answer soon blocks the sender.
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     sock.connect((host, int(port)))
     sock.sendall(data)
@@ -110,7 +110,7 @@
 
 
 def chat_bytes(tokens: int) -> bytes:
-    """Return a chat request as it is sent."""
+    """Return the bytes of a chat request."""
     message = {"role": "user", "content": "silent"}
     value = {"model": "notes", "messages": [message], "max_tokens": tokens, "stream": True}
     body = json.dumps(value).encode()
@@ -129,14 +129,14 @@
 def check_after_silence(context: Context, seconds: int) -> None:
     for row in table_of(context):
         SILENCES[row["silence"]](context.site)
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         check_served(context.site, "entry-1", "notes@1", row["silence"])
-        took_s = time.monotonic() - began_s
+        took_s = time.monotonic() - started_s
         assert took_s < seconds, (row["silence"], took_s)
 
 
 def freeze_connections(site: Site, *names: str) -> None:
-    """Make the open connections through relays silent; new ones work."""
+    """Freeze the open connections through relays; new ones work."""
     for name in names:
         site.relays[name].strike("freeze")
 
@@ -151,34 +151,32 @@
 
 
 def leave_idle_connections(site: Site) -> None:
-    """Have several cancellations made together, as callers that leave together cause."""
+    """Disconnect many callers at once, so that the target has many idle engine connections."""
     for engine in site.engines.values():
         add_fault(engine.address, "slow", match="DELETE", delay_ms=300)
     address = site.daemons["entry-1"].public
-    wanted = cancelled_run_count(site) + DISCONNECTING_CALLERS
+    expected = cancelled_run_count(site) + DISCONNECTING_CALLERS
     calls = [
         chat_call(address, "notes", f"leaving {n}", max_tokens=LONG_ANSWER_TOKENS, stream=True)
         for n in range(DISCONNECTING_CALLERS)
     ]
     for call in calls:
-        wait_for(partial(has_started, call), "the answer begins")
+        wait_for(partial(has_started, call), "the start of the answer")
     for call in calls:
         assert call.connection.sock
         call.disconnect()
-    wait_for(
-        lambda: cancelled_run_count(site) >= wanted, f"{DISCONNECTING_CALLERS} more cancelled runs"
-    )
+    wait_for(lambda: cancelled_run_count(site) >= expected, f"{expected} cancelled runs")
     for engine in site.engines.values():
         clear_faults(engine.address)
 
 
 def has_started(call: Call) -> bool:
-    """Tell whether some of an answer has come."""
+    """Return whether part of an answer has been received."""
     return bool(call.reply.body)
 
 
 def cancelled_run_count(site: Site) -> int:
-    """Count the runs that the engines cancelled."""
+    """Return the number of runs that the engines cancelled."""
     return sum(len(site.engine_log(name)["cancelled"]) for name in site.engines)
 
 
@@ -206,24 +204,24 @@
 def check_bookings(context: Context) -> None:
     site = context.site
     address = site.daemons["entry-1"].public
-    wait_for(partial(is_service_reachable, address), f"the entry knows {SERVICE}")
+    wait_for(partial(is_service_reachable, address), f"{SERVICE} reachable through the entry")
     for row in table_of(context):
         silence = row["silence"]
         call = service_call(address, SERVICE, silence, headers={"X-Deadline-Ms": "4000"})
-        wait_for(partial(has_booking_started, site, silence), f"{silence}: the booking runs")
+        wait_for(partial(has_booking_started, site, silence), f"{silence}: start of the booking")
         BOOKING_FAULTS[silence](site)
         check_booking(call.wait(), silence, row["told"])
         assert booking_count(site, silence) == 1, (silence, booking_count(site, silence))
 
 
 def is_service_reachable(address: str) -> bool:
-    """Tell whether an entry reaches the service."""
+    """Return whether an entry can reach the service."""
     return bool(service_call(address, SERVICE, "ping").wait().status == http.client.OK)
 
 
-def check_booking(reply: Reply, silence: str, told: str) -> None:
-    """Check what the caller is told of a booking that ran."""
-    if told == "unknown":
+def check_booking(reply: Reply, silence: str, outcome: str) -> None:
+    """Check the outcome reported to the caller of a booking that ran."""
+    if outcome == "unknown":
         assert reply.error()["outcome"] == "unknown", (silence, reply.body)
     else:
         assert reply.status == http.client.OK, (silence, reply.body)
@@ -231,12 +229,12 @@
 
 
 def booking_count(site: Site, body: str) -> int:
-    """Return how often a booking ran."""
+    """Return the number of times a booking ran."""
     return int(site.service_log("dispatch-0")["by_body"].get(body, 0))
 
 
 def has_booking_started(site: Site, body: str) -> bool:
-    """Tell whether a booking has begun to run."""
+    """Return whether a booking has started to run."""
     return booking_count(site, body) > 0
 
 
--- a/packages/daemon/src/mimosaspur_daemon/__init__.py
+++ b/packages/daemon/src/mimosaspur_daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Run an instance as a daemon."""
+"""The mimosaspurd daemon: runs an instance in its configured role."""
--- a/packages/daemon/src/mimosaspur_daemon/application.py
+++ b/packages/daemon/src/mimosaspur_daemon/application.py
@@ -1,4 +1,4 @@
-"""Own a process's tasks and clean up after them."""
+"""Run a process's background tasks and shut them down on a signal."""
 
 import contextlib
 import queue
@@ -10,10 +10,11 @@
 from mimosaspur_state.log import log
 
 PART = "APP"
-# Long enough to give a lease back; a task in a long watch ends with the process.
+# Long enough to release a lease. A task blocked in a long poll is a daemon thread and ends with the
+# process.
 TASK_JOIN_TIMEOUT_S = 0.5
-# The kernel may hand a signal to any thread. Its handler runs in this one, which only a signal of
-# its own wakes: it looks again so often.
+# Python runs signal handlers in the main thread only, and a signal delivered to another thread does
+# not wake it, so the main thread polls.
 SIGNAL_POLL_INTERVAL_S = 0.5
 
 Task = Callable[[threading.Event], None]
@@ -21,40 +22,41 @@
 
 
 class Application:
-    """Start tasks, wait for a signal, then call the stop hooks, the newest first."""
+    """Run background tasks until a stop signal, then call the stop hooks in reverse order."""
 
     def __init__(self) -> None:
         self.stop_event = threading.Event()
-        # A signal handler may run while this thread holds an event's lock; a put can't block.
+        # A signal handler may interrupt this thread while it holds an Event's lock, so Event.set
+        # could deadlock; SimpleQueue.put is reentrant.
         self.stop_requests: queue.SimpleQueue[None] = queue.SimpleQueue()
         self.tasks: list[threading.Thread] = []
         self.stop_hooks: list[Hook] = []
 
     def spawn(self, name: str, task: Task) -> None:
-        """Run a task until the application stops; a task that fails stops the application."""
+        """Run a task in a thread; a task that raises stops the application."""
         thread = threading.Thread(target=self._run_task, args=(name, task), name=name, daemon=True)
         self.tasks.append(thread)
         thread.start()
 
     def on_stop(self, hook: Hook) -> None:
-        """Call a hook when the application is asked to stop."""
+        """Register a hook to call on shutdown."""
         self.stop_hooks.append(hook)
 
     def handle_signals(self) -> None:
-        """Take SIGTERM and SIGINT as the order for a graceful shutdown."""
+        """Shut down gracefully on SIGTERM and SIGINT."""
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: self.stop_requests.put(None))
 
     def run(self) -> None:
-        """Wait for the order to stop and carry it out."""
+        """Block until a stop is requested, then shut down."""
         self._wait_for_stop_request()
-        log(PART, "Stops gracefully.")
+        log(PART, "Shutting down gracefully.")
         for hook in reversed(self.stop_hooks):
             hook()
         self.stop_event.set()
-        end = time.monotonic() + TASK_JOIN_TIMEOUT_S
+        deadline = time.monotonic() + TASK_JOIN_TIMEOUT_S
         for thread in self.tasks:
-            thread.join(max(0, end - time.monotonic()))
+            thread.join(max(0, deadline - time.monotonic()))
         log(PART, "Stopped.")
 
     def _wait_for_stop_request(self) -> None:
@@ -67,6 +69,6 @@
         try:
             task(self.stop_event)
         except Exception as error:
-            log(PART, "A task failed.", task=name, error=repr(error))
+            log(PART, "A task failed; shutting down.", task=name, error=repr(error))
             self.stop_requests.put(None)
             raise
--- a/packages/daemon/src/mimosaspur_daemon/dispatcher.py
+++ b/packages/daemon/src/mimosaspur_daemon/dispatcher.py
@@ -1,4 +1,7 @@
-"""Have callers' requests run at targets, trying another only after "not run"."""
+"""Dispatch callers' requests to targets.
+
+A request that isn't idempotent is retried only after an attempt that did not run.
+"""
 
 import queue
 import threading
@@ -46,7 +49,7 @@
 
 
 class EntryDispatcher:
-    """Serve callers' requests through the targets of this region."""
+    """Route callers' requests to the targets of this region, with retries."""
 
     def __init__(
         self,
@@ -75,25 +78,25 @@
         self.stopping = False
 
     def dispatch(self, work: Work, deadline_ms: int, gone: Callable[[], bool]) -> Answer:
-        """Have a request run and return its answer; raise MimosaspurError."""
+        """Run a request at a target and return its answer; raise MimosaspurError on failure."""
         self.budget.record_request()
-        journey = RequestState(work, Deadline(self.clock, deadline_ms), gone)
+        state = RequestState(work, Deadline(self.clock, deadline_ms), gone)
         model = self._demand_name(work)
         self.demand.count_request(model)
         began_ms = self.clock.now_ms()
         try:
-            answer = self._try_targets(journey)
-        except MimosaspurError as found:
-            error = correct_outcome(journey, found)
+            answer = self._try_targets(state)
+        except MimosaspurError as cause:
+            error = correct_outcome(state, cause)
             self.metrics.count(f"entry.result.{error.code.name.lower()}")
             if error.outcome is Outcome.NOT_RUN:
                 self.demand.count_refusal(model)
-            raise error from found
+            raise error from cause
         self.metrics.timing("entry.first", self.clock.now_ms() - began_ms)
         return answer
 
     def models(self) -> list[ModelCard]:
-        """Return what the bundle in force serves."""
+        """Return the models and adapters of the current bundle."""
         index = self.holder.current()
         if index is None:
             return []
@@ -107,11 +110,11 @@
         ]
 
     def generation(self) -> int:
-        """Return the generation in force here, 0 before the first."""
+        """Return the current bundle generation, 0 before the first bundle."""
         return self.holder.generation()
 
     def ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Return whether this entry accepts callers: it has a bundle and isn't stopping."""
         return self.holder.current() is not None and not self.stopping
 
     def _require_index(self) -> BundleIndex:
@@ -124,11 +127,13 @@
         index = self._require_index()
         if work.kind is Kind.SERVICE:
             if work.name not in index.services:
-                raise MimosaspurError(ResultCode.UNKNOWN_SERVICE, f"It is {work.name!r}.")
+                raise MimosaspurError(
+                    ResultCode.UNKNOWN_SERVICE, f"The requested name is {work.name!r}."
+                )
             return work.name
         served = index.served.get(work.name)
         if served is None:
-            raise MimosaspurError(ResultCode.UNKNOWN_MODEL, f"It is {work.name!r}.")
+            raise MimosaspurError(ResultCode.UNKNOWN_MODEL, f"The requested name is {work.name!r}.")
         return served.model.name
 
     def _candidates(self, index: BundleIndex, work: Work) -> list[Candidate]:
@@ -136,142 +141,139 @@
             return self.directory.for_service(work.name)
         served = index.served.get(work.name)
         if served is None:
-            raise MimosaspurError(ResultCode.UNKNOWN_MODEL, f"It is {work.name!r}.")
+            raise MimosaspurError(ResultCode.UNKNOWN_MODEL, f"The requested name is {work.name!r}.")
         return self.directory.for_model(served)
 
-    def _try_targets(self, journey: RequestState) -> Answer:
+    def _try_targets(self, state: RequestState) -> Answer:
         while True:
             index = self._require_index()
-            candidate = self._choose(index, journey)
+            candidate = self._choose(index, state)
             if candidate is None:
-                self._wait_for_target(journey)
+                self._wait_for_target(state)
                 continue
             link = self.links.get(candidate.hint)
-            attempt = self._submit(journey, index, candidate, link)
+            attempt = self._submit(state, index, candidate, link)
             if attempt is None:
-                journey.tried.add(candidate.hint.name)
+                state.tried.add(candidate.hint.name)
                 continue
-            answer = self._await_answer(journey, attempt, link, candidate)
+            answer = self._await_answer(state, attempt, link, candidate)
             if answer:
                 return answer
-            self._check_retry(journey)
+            self._check_retry(state)
 
-    def _choose(self, index: BundleIndex, journey: RequestState) -> Candidate | None:
+    def _choose(self, index: BundleIndex, state: RequestState) -> Candidate | None:
         return self.router.choose(
-            self._candidates(index, journey.work),
-            tried=journey.tried,
-            prefix=journey.work.prefix,
+            self._candidates(index, state.work),
+            tried=state.tried,
+            prefix=state.work.prefix,
             now_ms=self.clock.now_ms(),
         )
 
-    def _wait_for_target(self, journey: RequestState) -> None:
-        """Wait a little for a target to be ready; raise the refusal when that is over.
+    def _wait_for_target(self, state: RequestState) -> None:
+        """Sleep for one poll interval; raise the refusal once the wait is used up.
 
-        A target that is replaced is back in a second: far less than a deadline mostly leaves.
-        Few may wait at once, so that an unreachable model can't take the places of others.
+        Waiting requests are limited so that an unavailable model can't take all in-flight slots.
         """
-        if journey.wait_deadline is None:
-            wait_ms = min(self.wait_ready_ms, journey.deadline.left_ms() // 2)
-            journey.wait_deadline = Deadline(self.clock, wait_ms)
-        if journey.wait_deadline.passed() or not journey.can_wait_for_target():
-            raise error_from_refusal(journey)
+        if state.wait_deadline is None:
+            wait_ms = min(self.wait_ready_ms, state.deadline.left_ms() // 2)
+            state.wait_deadline = Deadline(self.clock, wait_ms)
+        if state.wait_deadline.passed() or not state.can_wait_for_target():
+            raise error_from_refusal(state)
         if not self.waiting_slots.acquire(blocking=False):
-            raise error_from_refusal(journey)
+            raise error_from_refusal(state)
         try:
             threading.Event().wait(READY_POLL_INTERVAL_S)
         finally:
             self.waiting_slots.release()
-        if journey.caller_disconnected():
+        if state.caller_disconnected():
             raise MimosaspurError(ResultCode.CANCELLED)
-        journey.tried.clear()
+        state.tried.clear()
 
     def _submit(
-        self, journey: RequestState, index: BundleIndex, candidate: Candidate, link: TargetLink
+        self, state: RequestState, index: BundleIndex, candidate: Candidate, link: TargetLink
     ) -> Attempt | None:
-        journey.attempts += 1
-        left_ms = journey.deadline.left_ms()
-        if left_ms == 0:
-            raise error_from_refusal(journey, ResultCode.DEADLINE_UNREACHABLE)
-        journey.generation = index.generation
+        state.attempts += 1
+        remaining_ms = state.deadline.left_ms()
+        if remaining_ms == 0:
+            raise error_from_refusal(state, ResultCode.DEADLINE_UNREACHABLE)
+        state.generation = index.generation
         submit = Submit(
-            journey.attempts, index.generation, left_ms, candidate.resident, journey.work
+            state.attempts, index.generation, remaining_ms, candidate.resident, state.work
         )
-        return link.submit(submit, wait_ms=min(left_ms, self.links.settings.connect_ms))
+        return link.submit(submit, wait_ms=min(remaining_ms, self.links.settings.connect_ms))
 
     def _await_answer(
-        self, journey: RequestState, attempt: Attempt, link: TargetLink, candidate: Candidate
+        self, state: RequestState, attempt: Attempt, link: TargetLink, candidate: Candidate
     ) -> Answer | None:
-        """Return the answer once it has begun, or None when another target may be tried."""
+        """Return the answer once it has started, or None if another target may be tried."""
         try:
-            event = self._next_event(journey, attempt)
+            event = self._next_event(state, attempt)
             if isinstance(event, Started):
-                chunks = self._chunks(journey, attempt, link)
+                chunks = self._chunks(state, attempt, link)
                 return Answer(event.status, event.content_type, event.replayed, chunks)
         except BaseException:
             link.finish(attempt)
             raise
         link.finish(attempt)
         if isinstance(event, Refused):
-            self._record_refusal(journey, event, candidate)
+            self._record_refusal(state, event, candidate)
             return None
         assert isinstance(event, Failed)
-        journey.tried.add(candidate.hint.name)
-        journey.may_have_run = True
-        # A deadline that has passed here has passed everywhere.
-        if not journey.work.idempotent or event.code is ResultCode.DEADLINE_PASSED:
+        state.tried.add(candidate.hint.name)
+        state.may_have_run = True
+        # A passed deadline rules out another target, too.
+        if not state.work.idempotent or event.code is ResultCode.DEADLINE_PASSED:
             raise error_from_failure(event)
         return None
 
-    def _record_refusal(
-        self, journey: RequestState, refusal: Refused, candidate: Candidate
-    ) -> None:
+    def _record_refusal(self, state: RequestState, refusal: Refused, candidate: Candidate) -> None:
         self.metrics.count(f"entry.refused.{refusal.code.name.lower()}")
-        journey.last_refusal = refusal
+        state.last_refusal = refusal
         if refusal.code is ResultCode.STALE_GENERATION:
-            self.holder.wait_for(journey.generation + 1, GENERATION_WAIT_S)
+            self.holder.wait_for(state.generation + 1, GENERATION_WAIT_S)
             return
         if refusal.code is ResultCode.DRAINING:
             candidate.hint.draining = True
-        known = journey.retry_after_ms
-        journey.retry_after_ms = min(known or refusal.retry_after_ms, refusal.retry_after_ms)
+        previous_ms = state.retry_after_ms
+        state.retry_after_ms = min(previous_ms or refusal.retry_after_ms, refusal.retry_after_ms)
         if refusal.code in FINAL_REFUSALS:
-            raise error_from_refusal(journey)
-        if not self._may_have_newer_version(refusal, candidate, journey):
-            journey.tried.add(candidate.hint.name)
+            raise error_from_refusal(state)
+        if not self._may_have_newer_version(refusal, candidate, state):
+            state.tried.add(candidate.hint.name)
 
     def _may_have_newer_version(
-        self, refusal: Refused, candidate: Candidate, journey: RequestState
+        self, refusal: Refused, candidate: Candidate, state: RequestState
     ) -> bool:
-        """Tell whether a target refused only the older version that was asked of it."""
+        """Return whether the target refused only a version that a newer bundle has replaced."""
         index = self.holder.current()
-        served = index.served.get(journey.work.name) if index else None
-        older = served is not None and served.resident() != candidate.resident
-        return older and refusal.code is ResultCode.NOT_READY_HERE
+        served = index.served.get(state.work.name) if index else None
+        was_replaced = served is not None and served.resident() != candidate.resident
+        return was_replaced and refusal.code is ResultCode.NOT_READY_HERE
 
-    def _check_retry(self, journey: RequestState) -> None:
-        refusal = journey.last_refusal
-        # Being behind is nobody's load: it costs no retry of the budget.
-        free = refusal is not None and refusal.code is ResultCode.STALE_GENERATION
-        if journey.attempts >= MAX_ATTEMPTS or not (free or self.budget.try_spend()):
-            raise error_from_refusal(journey, ResultCode.RETRIES_EXHAUSTED)
+    def _check_retry(self, state: RequestState) -> None:
+        refusal = state.last_refusal
+        # A stale generation is no sign of overload, so it doesn't use up the retry budget.
+        is_free = refusal is not None and refusal.code is ResultCode.STALE_GENERATION
+        if state.attempts >= MAX_ATTEMPTS or not (is_free or self.budget.try_spend()):
+            raise error_from_refusal(state, ResultCode.RETRIES_EXHAUSTED)
 
-    def _next_event(self, journey: RequestState, attempt: Attempt) -> Event:
+    def _next_event(self, state: RequestState, attempt: Attempt) -> Event:
         while True:
             try:
                 return attempt.events.get(timeout=DISCONNECT_POLL_INTERVAL_S)
             except queue.Empty:
-                self._check_cancelled_or_expired(journey)
+                self._check_cancelled_or_expired(state)
 
-    def _check_cancelled_or_expired(self, journey: RequestState) -> None:
-        if journey.caller_disconnected():
+    def _check_cancelled_or_expired(self, state: RequestState) -> None:
+        if state.caller_disconnected():
             raise MimosaspurError(ResultCode.CANCELLED, outcome=Outcome.UNKNOWN)
-        if journey.deadline.passed():
+        if state.deadline.passed():
             raise MimosaspurError(ResultCode.DEADLINE_PASSED, outcome=Outcome.UNKNOWN)
 
-    def _chunks(self, journey: RequestState, attempt: Attempt, link: TargetLink) -> Iterator[bytes]:
+    def _chunks(self, state: RequestState, attempt: Attempt, link: TargetLink) -> Iterator[bytes]:
         try:
             while True:
-                event = self._next_chunk(journey, attempt)
+                event = self._next_chunk(state, attempt)
                 if isinstance(event, Chunk):
                     yield event.data
                 elif isinstance(event, End):
@@ -281,10 +283,10 @@
         finally:
             link.finish(attempt)
 
-    def _next_chunk(self, journey: RequestState, attempt: Attempt) -> Event:
+    def _next_chunk(self, state: RequestState, attempt: Attempt) -> Event:
         while True:
             try:
                 return attempt.events.get(timeout=DISCONNECT_POLL_INTERVAL_S)
             except queue.Empty:
-                if journey.caller_disconnected():
+                if state.caller_disconnected():
                     raise MimosaspurError(ResultCode.CANCELLED, outcome=Outcome.UNKNOWN) from None
--- a/packages/daemon/src/mimosaspur_daemon/entryrole.py
+++ b/packages/daemon/src/mimosaspur_daemon/entryrole.py
@@ -1,4 +1,4 @@
-"""Put the role entry together."""
+"""Assemble the entry role."""
 
 import random
 import uuid
@@ -26,12 +26,12 @@
 from mimosaspur_transport.callers import CallerServer
 
 STOP_GRACE_MS = 30_000
-# Of the requests in flight, one in this many may wait for a target to be ready.
+# One in this many of the allowed in-flight requests may wait for a target to become ready.
 IN_FLIGHT_PER_WAITING_SLOT = 4
 
 
 class EntryRole:
-    """Own everything that the role entry runs."""
+    """Create and run the components of the entry role."""
 
     def __init__(self, settings: Settings, clock: Clock) -> None:
         assert settings.entry is not None
@@ -77,7 +77,7 @@
         self.mirror.listeners.append(self.on_drain_change)
 
     def start(self, app: Application) -> str:
-        """Start all tasks; return the address that callers reach."""
+        """Start all tasks and return the address on which callers are served."""
         app.spawn("mirror", self.mirror.run)
         app.spawn("bundles", self.fetcher.run)
         app.spawn("instances", self.instances.run)
@@ -90,25 +90,25 @@
         return self.server.address
 
     def shut_down(self) -> None:
-        """Take nothing new, let answers end, then close the links."""
+        """Stop accepting requests, let running answers finish, then close the links."""
         self.shutting_down = True
         self.dispatcher.stopping = True
         self.server.stop(STOP_GRACE_MS)
         self.links.stop()
 
     def on_drain_change(self, item: StoredObject) -> None:
-        """Have the balancer send no callers here while an operator's order to leave stands."""
+        """Report not ready to the balancer while a drain order for this instance exists."""
         if item.key == keys.drain(self.settings.instance.name):
             self.dispatcher.stopping = self.shutting_down or item.value is not None
 
     def _create_dispatcher(self) -> EntryDispatcher:
         entry = self.settings.entry
         assert entry is not None
-        naive = self.settings.policy is Policy.NAIVE
+        is_naive = self.settings.policy is Policy.NAIVE
         router = Router(
             failure_domain=self.settings.instance.failure_domain,
             random_source=random.Random(),
-            naive=naive,
+            naive=is_naive,
         )
         return EntryDispatcher(
             holder=self.holder,
@@ -119,16 +119,16 @@
             demand=self.demand,
             clock=self.clock,
             metrics=self.metrics,
-            wait_ready_ms=0 if naive else entry.wait_ready_ms,
+            wait_ready_ms=0 if is_naive else entry.wait_ready_ms,
             max_waiting=entry.max_in_flight // IN_FLIGHT_PER_WAITING_SLOT,
         )
 
     def _start_planner(self, app: Application) -> None:
-        # Only an entry that may plan pays for the planner's code.
+        # Imported here so that an entry that never plans doesn't load the planner's code.
         from mimosaspur_coordination.claimsweep import ClaimSweep
         from mimosaspur_daemon.leased_planner import LeasedPlanner
 
-        duty = LeasedPlanner(
+        planner = LeasedPlanner(
             self.store,
             self.settings,
             self.incarnation,
@@ -136,12 +136,12 @@
             self.holder.current,
             metrics=self.metrics,
         )
-        app.spawn("planner", duty.run)
+        app.spawn("planner", planner.run)
         sweep = ClaimSweep(
             self.store,
             self.clock,
             retention_ms=self.settings.planner.claim_keep_ms,
             page_size=self.settings.planner.claims_swept_per_second,
-            holds_lease=lambda: duty.holds_lease,
+            holds_lease=lambda: planner.holds_lease,
         )
         app.spawn("claimsweep", sweep.run)
--- a/packages/daemon/src/mimosaspur_daemon/exitcodes.py
+++ b/packages/daemon/src/mimosaspur_daemon/exitcodes.py
@@ -1,10 +1,10 @@
-"""Name the daemon's exit codes."""
+"""Define the daemon's exit codes."""
 
 from enum import IntEnum
 
 
 class ExitCode(IntEnum):
-    """Tell whoever started the daemon how it ended."""
+    """Exit status of mimosaspurd."""
 
     OK = 0
     INTERNAL = 1
--- a/packages/daemon/src/mimosaspur_daemon/instancelistpoller.py
+++ b/packages/daemon/src/mimosaspur_daemon/instancelistpoller.py
@@ -1,4 +1,4 @@
-"""Keep an entry's directory up to date with the platform's instance list."""
+"""Poll the platform's instance list to keep an entry's target directory current."""
 
 import random
 import threading
@@ -16,12 +16,12 @@
 
 PART = "ENTRY"
 MS_PER_SECOND = 1000
-# An entry that starts in an outage asks this many targets for the bundle and what they hold.
+# Connected targets send the bundle and their residents, which the store can't during an outage.
 MAX_OUTAGE_CONNECTS = 64
 
 
 class InstanceListPoller:
-    """Read the instance list as often as its size allows; one task runs `run`."""
+    """Read the instance list at a rate limited by its size; a single task calls `run`."""
 
     def __init__(
         self,
@@ -46,16 +46,16 @@
         self.wake = threading.Event()
 
     def on_placement_change(self, item: StoredObject) -> None:
-        """Look sooner when a record names a target that is not known here."""
+        """Wake the poller early if a placement record names an unknown target."""
         if self.directory.on_placement_change(item):
             self.wake.set()
 
     def run(self, stop: threading.Event) -> None:
-        """Go round until told to stop; it ends within a pause."""
+        """Poll until stopped; returns within one poll interval."""
         while not stop.is_set():
             if self.read_limiter.is_due(self.clock.now_ms(), self.directory.unresolved_targets()):
                 self._read_list()
-            # The list may be down together with the object API: the targets known so far remain.
+            # The list may be down together with the object API, so use the targets already known.
             if not self.mirror.reachable:
                 self._connect_to_targets()
             self.wake.wait(self.poll_interval_ms / MS_PER_SECOND)
@@ -65,7 +65,7 @@
         try:
             instances = self.instance_list.instances()
         except StoreUnavailable as error:
-            log(PART, "Could not read the instance list.", error=str(error))
+            log(PART, "Could not read the instance list; will retry.", error=str(error))
             self.read_limiter.record_failure(self.clock.now_ms())
             return
         self.directory.update(instances)
--- a/packages/daemon/src/mimosaspur_daemon/leased_planner.py
+++ b/packages/daemon/src/mimosaspur_daemon/leased_planner.py
@@ -1,4 +1,4 @@
-"""Plan a region while this entry holds the duty."""
+"""Run a region's planner while this entry holds the planner lease."""
 
 import threading
 from collections.abc import Callable
@@ -32,15 +32,15 @@
 RENEWALS_PER_LEASE = 3
 PAUSE_TO_PASS_RATIO = 4
 MS_PER_SECOND = 1000
-# The weight store counts when loads begin, the planner when it places them: between the two lie a
-# watch and an order, whose times differ. A fifth leaves 250 ms for that at two loads a second.
+# The weight store limits load starts, but the planner counts placements, which precede the starts
+# by a varying delay. The unused share absorbs that variation.
 USED_RATE_SHARE = 0.8
 
 GetIndex = Callable[[], BundleIndex | None]
 
 
 class LeasedPlanner:
-    """Take the lease, follow the region while holding it, and write the moves decided."""
+    """Hold the planner lease, mirror the region meanwhile, and write placement changes."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         settings: Settings,
         incarnation: str,
         clock: Clock,
-        current: GetIndex,
+        get_index: GetIndex,
         *,
         metrics: Metrics | None = None,
         random: Random | None = None,
@@ -56,7 +56,7 @@
         self.store = store
         self.settings = settings
         self.clock = clock
-        self.get_index = current
+        self.get_index = get_index
         self.metrics = metrics or Metrics()
         self.random = random or Random()
         self.region = settings.instance.region
@@ -78,7 +78,7 @@
         self.unconfirmed_keys: set[str] = set()
 
     def run(self, stop: threading.Event) -> None:
-        """Plan every interval until told to stop."""
+        """Run a planning pass every interval until stopped."""
         try:
             while not stop.wait(self._pause_ms() / MS_PER_SECOND):
                 self.tick()
@@ -88,26 +88,26 @@
                 self.lease.release()
 
     def _pause_ms(self) -> int:
-        # A long pass, as after a failure domain is lost, must not take the callers' processor.
+        # A long pass, as after the loss of a failure domain, must not starve callers of CPU.
         return max(self.settings.planner.interval_ms, PAUSE_TO_PASS_RATIO * self.pass_duration_ms)
 
     def tick(self) -> None:
-        """Renew or ask for the lease when due, and make one planning pass if we hold it."""
+        """Acquire or renew the lease when due, then run one planning pass if it is held."""
         self._renew_lease()
         index = self.get_index()
-        watch = self.view_builder
-        if not self.holds_lease or watch is None or index is None:
+        builder = self.view_builder
+        if not self.holds_lease or builder is None or index is None:
             return
-        # A copy that may be behind by an outage would move what is well where it is.
-        if not watch.mirror.synced.is_set() or not watch.mirror.reachable:
+        # Planning from a stale mirror would move healthy replicas.
+        if not builder.mirror.synced.is_set() or not builder.mirror.reachable:
             return
-        if self._read_unconfirmed(watch.mirror):
-            self._run_pass(watch, index)
-            self._delete_expired_report(watch)
+        if self._read_unconfirmed(builder.mirror):
+            self._run_pass(builder, index)
+            self._delete_expired_report(builder)
 
     def _weight_store_bucket(self) -> TokenBucket:
         rate = self.settings.weight_store.loads_per_second * USED_RATE_SHARE
-        # What comes between two passes must not be lost, or the rate is never reached.
+        # The bucket must hold the tokens of one interval, or the rate is never reached.
         burst = rate * self.settings.planner.interval_ms / MS_PER_SECOND
         return TokenBucket(rate, clock=self.clock, burst=burst)
 
@@ -125,13 +125,13 @@
             self.last_held_ms = now_ms
             self._start_mirror()
         elif now_ms - self.last_held_ms >= lease_ms:
-            # One lost answer must not cost the graces that run: only a lost lease does.
+            # A single failed renewal must not reset the grace periods; only an expired lease does.
             self._stop_mirror()
 
     def _start_mirror(self) -> None:
         if self.view_builder is not None:
             return
-        log(PART, "Took up the planner duty.", region=self.region)
+        log(PART, "Acquired the planner lease; starting to plan.", region=self.region)
         prefixes = (
             keys.placements(self.region),
             keys.statuses(self.region),
@@ -142,7 +142,7 @@
             self.store,
             prefixes,
             wait_ms=self.settings.platform.watch_ms,
-            # Each target's beat would end a watch, and we look only once an interval.
+            # Every status heartbeat would end a watch, and the planner reads only once an interval.
             watch_interval_ms=self.settings.planner.interval_ms,
         )
         self.view_builder = PlannerViewBuilder(mirror, self.settings)
@@ -155,13 +155,13 @@
     def _stop_mirror(self) -> None:
         if self.view_builder is None:
             return
-        log(PART, "Gave up the planner duty.", region=self.region)
+        log(PART, "Stopped planning.", region=self.region)
         self.mirror_stop.set()
         self.view_builder = None
         self.unconfirmed_keys.clear()
 
     def _read_unconfirmed(self, mirror: Mirror) -> bool:
-        """Read back records whose write had no answer; tell whether all are known."""
+        """Read back records whose write got no answer; return whether all reads succeeded."""
         for key in sorted(self.unconfirmed_keys):
             try:
                 found = self.store.get(key)
@@ -172,35 +172,35 @@
             self.unconfirmed_keys.discard(key)
         return True
 
-    def _run_pass(self, watch: PlannerViewBuilder, index: BundleIndex) -> None:
-        began_ms = self.clock.now_ms()
-        view = watch.build(index, began_ms)
+    def _run_pass(self, builder: PlannerViewBuilder, index: BundleIndex) -> None:
+        started_ms = self.clock.now_ms()
+        view = builder.build(index, started_ms)
         changes = self._compute_changes(view)
-        self.pass_duration_ms = self.clock.now_ms() - began_ms
+        self.pass_duration_ms = self.clock.now_ms() - started_ms
         for change in changes:
             key = keys.placement(self.region, change.model)
             try:
                 version = self._write_change(key, change)
             except VersionConflict:
-                # Someone changed it since; the next pass sees how.
+                # The record was changed concurrently; the next pass plans from the new version.
                 continue
             except StoreUnavailable:
                 self.unconfirmed_keys.add(key)
                 return
             value = change.new.to_value() if change.new else None
-            watch.mirror.apply_update(StoredObject(key, version, value))
+            builder.mirror.apply_update(StoredObject(key, version, value))
             placed = view.placed.get(change.model)
             self._report_change(change, placed.record if placed else None)
 
-    def _delete_expired_report(self, watch: PlannerViewBuilder) -> None:
-        """Delete the report of an instance long gone, one a pass: names change every day."""
-        for item in watch.expired_reports(self.clock.now_ms())[:1]:
+    def _delete_expired_report(self, builder: PlannerViewBuilder) -> None:
+        """Delete one expired report of a removed instance, so that reports don't accumulate."""
+        for item in builder.expired_reports(self.clock.now_ms())[:1]:
             try:
                 self.store.delete(item.key, item.version)
             except (StoreUnavailable, VersionConflict):
                 return
-            watch.mirror.apply_update(StoredObject(item.key, item.version, None))
-            log(PART, "Forgot an instance that is long gone.", key=item.key)
+            builder.mirror.apply_update(StoredObject(item.key, item.version, None))
+            log(PART, "Deleted the expired report of a removed instance.", key=item.key)
 
     def _compute_changes(self, view: PlannerView) -> list[RecordChange]:
         if self.settings.policy is Policy.NAIVE:
@@ -219,11 +219,11 @@
         before = set(old.replicas) if old else set()
         after = set(change.new.replicas) if change.new else set()
         loads = [item for item in after - before if item.state is ReplicaState.LOAD]
-        stayed = {(item.target, item.version) for item in after if not _is_leaving(item)}
+        kept = {(item.target, item.version) for item in after if not _is_leaving(item)}
         unloads = [
             item
             for item in before
-            if not _is_leaving(item) and (item.target, item.version) not in stayed
+            if not _is_leaving(item) and (item.target, item.version) not in kept
         ]
         if loads:
             self.metrics.count("moves.load", len(loads))
--- a/packages/daemon/src/mimosaspur_daemon/linkpool.py
+++ b/packages/daemon/src/mimosaspur_daemon/linkpool.py
@@ -1,4 +1,4 @@
-"""Hold an entry's connections to targets, opened on demand."""
+"""Pool an entry's links to targets, created on demand."""
 
 import threading
 
@@ -10,7 +10,7 @@
 
 
 class LinkPool:
-    """Give the link to a target; a target at a new address gets a new link."""
+    """Keep one link per target; a new hint, as after an address change, replaces the link."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         self.links: dict[str, TargetLink] = {}
 
     def get(self, hint: TargetHint) -> TargetLink:
-        """Return the link to a target, not connected yet if it is new."""
+        """Return the link to a target, creating it unconnected if needed."""
         with self.lock:
             link = self.links.get(hint.name)
             if link is None or link.hint is not hint:
--- a/packages/daemon/src/mimosaspur_daemon/main.py
+++ b/packages/daemon/src/mimosaspur_daemon/main.py
@@ -1,4 +1,4 @@
-"""Run mimosaspurd."""
+"""Command-line entry point of mimosaspurd."""
 
 import json
 import sys
@@ -32,14 +32,14 @@
     try:
         address = _start(app, checked)
     except OSError as error:
-        print(f"error: can't listen: {error}", file=sys.stderr)
+        print(f"error: can't listen on the configured address: {error}", file=sys.stderr)
         raise typer.Exit(ExitCode.ADDRESS_TAKEN) from error
     print(json.dumps({"name": checked.instance.name, "address": address}), flush=True)
     app.run()
 
 
 def _start(app: Application, settings: Settings) -> str:
-    # Each role loads only what it uses.
+    # Imported here so that each role loads only the modules it uses, which saves memory.
     if settings.role is Role.ENTRY:
         from mimosaspur_daemon.entryrole import EntryRole
 
@@ -50,7 +50,7 @@
 
 
 def main() -> None:
-    """Be the program mimosaspurd."""
+    """Run the mimosaspurd command."""
     typer.run(run)
 
 
--- a/packages/daemon/src/mimosaspur_daemon/planner_view_builder.py
+++ b/packages/daemon/src/mimosaspur_daemon/planner_view_builder.py
@@ -1,4 +1,4 @@
-"""Turn the planner's copy of a region's objects into the view that it decides from."""
+"""Build the planner's view of a region from the mirror of its stored objects."""
 
 from dataclasses import dataclass
 from dataclasses import field
@@ -22,32 +22,34 @@
 from mimosaspur_state.settings import Settings
 from mimosaspur_state.settings import TargetKind
 
+# Replaces the status version of a target whose engine doesn't respond, so that no status counts as
+# new.
 NO_ENGINE_VERSION = 0
 
 
 @dataclass(slots=True)
 class ChangeTracker:
-    """Remember when each object was last seen to change, on our own clock."""
+    """Track when each object last changed, by the local monotonic clock."""
 
     grace_ms: int
     last_changes: dict[str, tuple[int, int]] = field(default_factory=dict)
 
     def observe(self, key: str, version: int, now_ms: int) -> bool:
-        """Note an object's version; tell whether it changed within the grace."""
-        known = self.last_changes.get(key)
-        if known is None or known[0] != version:
+        """Record an object's version; return whether it changed within the grace period."""
+        last = self.last_changes.get(key)
+        if last is None or last[0] != version:
             self.last_changes[key] = (version, now_ms)
             return True
-        return now_ms - known[1] < self.grace_ms
+        return now_ms - last[1] < self.grace_ms
 
     def unchanged_ms(self, key: str, now_ms: int) -> int:
-        """Return for how long an object has not changed, 0 if it was never looked at."""
-        known = self.last_changes.get(key)
-        return now_ms - known[1] if known else 0
+        """Return for how long an object has not changed, 0 if it was never observed."""
+        last = self.last_changes.get(key)
+        return now_ms - last[1] if last else 0
 
 
 class PlannerViewBuilder:
-    """Follow a region while we plan it; a new one gives every target the full grace."""
+    """Build views of a region; a new builder gives every target the full grace period."""
 
     def __init__(
         self,
@@ -72,7 +74,7 @@
         self.former_entries: dict[str, ModelEntry] = {}
 
     def build(self, index: BundleIndex, now_ms: int) -> PlannerView:
-        """Return this moment's view."""
+        """Return the view of the region at this time."""
         self.former_entries.update({entry.resident(): entry for entry in index.models.values()})
         placed = self._placed()
         self._record_changes(placed, now_ms)
@@ -100,47 +102,47 @@
         return view
 
     def expired_reports(self, now_ms: int) -> list[StoredObject]:
-        """Return the reports of instances that have been gone for long."""
+        """Return the stored reports that have not changed for the retention time."""
         limit_ms = self.settings.planner.forget_ms
-        kept = (
+        sources = (
             (keys.statuses(self.region), self.status_changes),
             (keys.demands(self.region), self.report_changes),
         )
         return [
             item
-            for prefix, beats in kept
+            for prefix, tracker in sources
             for item in self.mirror.list_prefix(prefix)
-            if beats.unchanged_ms(item.key, now_ms) >= limit_ms
+            if tracker.unchanged_ms(item.key, now_ms) >= limit_ms
         ]
 
     def _service_time_ms(self, alive: dict[str, TargetStatus]) -> int:
-        told = sorted(item.service_time_ms for item in alive.values() if item.service_time_ms)
-        return told[len(told) // 2] if told else self.service_time_ms
+        reported = sorted(item.service_time_ms for item in alive.values() if item.service_time_ms)
+        return reported[len(reported) // 2] if reported else self.service_time_ms
 
     def _placed(self) -> dict[str, Placed]:
-        found = self.records.all(keys.placements(self.region))
-        return {record.model: Placed(record, item.version) for item, record in found}
+        items = self.records.all(keys.placements(self.region))
+        return {record.model: Placed(record, item.version) for item, record in items}
 
     def _alive_targets(self, now_ms: int) -> dict[str, TargetStatus]:
         alive = {}
         for item in self.mirror.list_prefix(keys.statuses(self.region)):
             status = TargetStatus.from_value(item.value)
-            # Beats of a target whose engine is silent don't count: what it held is lost too.
+            # Without its engine a target's residents are lost, so its heartbeats don't count.
             version = item.version if _has_engine_or_service(status) else NO_ENGINE_VERSION
             if self.status_changes.observe(item.key, version, now_ms):
                 alive[status.instance] = status
         return alive
 
     def _draining_targets(self, alive: dict[str, TargetStatus]) -> frozenset[str]:
-        said = {name for name, status in alive.items() if status.draining}
+        reported = {name for name, status in alive.items() if status.draining}
         ordered = {name for name in alive if self.mirror.get(keys.drain(name))}
-        return frozenset(said | ordered)
+        return frozenset(reported | ordered)
 
     def _current_reports(self, now_ms: int) -> list[DemandReport]:
-        found = self.mirror.list_prefix(keys.demands(self.region))
+        items = self.mirror.list_prefix(keys.demands(self.region))
         return [
             DemandReport.from_value(item.value)
-            for item in found
+            for item in items
             if self.report_changes.observe(item.key, item.version, now_ms)
         ]
 
--- a/packages/daemon/src/mimosaspur_daemon/platform.py
+++ b/packages/daemon/src/mimosaspur_daemon/platform.py
@@ -1,4 +1,4 @@
-"""Open the platform's services as the settings say."""
+"""Create clients of the platform's services from the settings."""
 
 from mimosaspur_state.clock import Clock
 from mimosaspur_state.settings import Settings
@@ -7,7 +7,7 @@
 
 
 def open_store(settings: Settings, clock: Clock) -> HttpObjectStore:
-    """Return the object API within this instance's rates."""
+    """Return an object API client limited to this instance's request rates."""
     platform = settings.platform
     return HttpObjectStore(
         platform.object_api,
@@ -20,7 +20,7 @@
 
 
 def open_instance_list(settings: Settings, clock: Clock) -> InstanceListClient:
-    """Return the instance list."""
+    """Return a client of the platform's instance list."""
     platform = settings.platform
     return InstanceListClient(
         platform.instance_list,
--- a/packages/daemon/src/mimosaspur_daemon/requeststate.py
+++ b/packages/daemon/src/mimosaspur_daemon/requeststate.py
@@ -1,4 +1,4 @@
-"""Follow one request over its attempts, and tell truly how it ended."""
+"""Track one request over its attempts and build the error that its caller receives."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,10 +14,10 @@
 
 DEFAULT_RETRY_AFTER_MS = 1000
 
-# What ends by itself when a target has started again or a model has been loaded.
+# These end once a target has restarted or a model has been loaded.
 TRANSIENT_REFUSALS = frozenset({ResultCode.DRAINING, ResultCode.NOT_READY_HERE})
 
-# Another target would say the same.
+# Every other target would refuse the request for the same reason.
 FINAL_REFUSALS = frozenset(
     {
         ResultCode.KEY_REUSED,
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class RequestState:
-    """Follow one request over its attempts."""
+    """State of one request over its attempts."""
 
     work: Work
     deadline: Deadline
@@ -41,46 +41,46 @@
     tried: set[str] = field(default_factory=set)
     last_refusal: Refused | None = None
     retry_after_ms: int | None = None
-    # After an attempt whose outcome is unknown, no refusal may say "not run" any more.
+    # Set after an attempt with an unknown outcome; no later refusal may then report "not run".
     may_have_run: bool = False
     wait_deadline: Deadline | None = None
 
     def can_wait_for_target(self) -> bool:
-        """Tell whether it lacks a ready target only, so that a little patience may help."""
+        """Return whether the request only lacks a ready target, so waiting may help."""
         refusal = self.last_refusal
         return not self.may_have_run and (refusal is None or refusal.code in TRANSIENT_REFUSALS)
 
 
-def error_from_refusal(journey: RequestState, code: ResultCode | None = None) -> MimosaspurError:
-    """Return the refusal of a request that no target took on."""
-    refusal = journey.last_refusal
+def error_from_refusal(state: RequestState, code: ResultCode | None = None) -> MimosaspurError:
+    """Return the error for a request that no target accepted."""
+    refusal = state.last_refusal
     if refusal and code in (None, ResultCode.RETRIES_EXHAUSTED):
         code = refusal.code
     return MimosaspurError(
         code or ResultCode.NO_READY_TARGET,
         refusal.detail if refusal else "",
-        retry_after_ms=_retry_after_ms(journey, code),
+        retry_after_ms=_retry_after_ms(state, code),
     )
 
 
-def _retry_after_ms(journey: RequestState, code: ResultCode | None) -> int | None:
+def _retry_after_ms(state: RequestState, code: ResultCode | None) -> int | None:
     if code is ResultCode.KEY_REUSED:
         return None
-    return journey.retry_after_ms or DEFAULT_RETRY_AFTER_MS
+    return state.retry_after_ms or DEFAULT_RETRY_AFTER_MS
 
 
-def correct_outcome(journey: RequestState, error: MimosaspurError) -> MimosaspurError:
-    """Return what may be told: a refusal's code says "not run", and so do its words."""
-    if not journey.may_have_run or error.outcome is not Outcome.NOT_RUN:
+def correct_outcome(state: RequestState, error: MimosaspurError) -> MimosaspurError:
+    """Replace a "not run" error by OUTCOME_UNKNOWN if an attempt may have run."""
+    if not state.may_have_run or error.outcome is not Outcome.NOT_RUN:
         return error
     return MimosaspurError(
         ResultCode.OUTCOME_UNKNOWN,
-        "An earlier try may have run and no other was taken on.",
+        "An earlier attempt may have run and no later one was accepted.",
         retry_after_ms=error.retry_after_ms,
         outcome=Outcome.UNKNOWN,
     )
 
 
 def error_from_failure(event: Failed) -> MimosaspurError:
-    """Return the error that a failed attempt tells."""
+    """Return the error that a failed attempt reported."""
     return MimosaspurError(event.code, event.detail, outcome=event.outcome)
