--- a/packages/daemon/src/mimosaspur_daemon/dispatcher.py
+++ b/packages/daemon/src/mimosaspur_daemon/dispatcher.py
@@ -36,7 +36,7 @@
 from mimosaspur_state.codes import ResultCode
 from mimosaspur_state.errors import MimosaspurError
 from mimosaspur_state.metrics import Metrics
-from mimosaspur_state.requests import Kind
+from mimosaspur_state.requests import RequestKind
 from mimosaspur_state.requests import Work
 from mimosaspur_transport.attempt import Attempt
 from mimosaspur_transport.attempt import Event
@@ -125,7 +125,7 @@
 
     def _demand_name(self, work: Work) -> str:
         index = self._require_index()
-        if work.kind is Kind.SERVICE:
+        if work.kind is RequestKind.SERVICE:
             if work.name not in index.services:
                 raise MimosaspurError(
                     ResultCode.UNKNOWN_SERVICE, f"The requested name is {work.name!r}."
@@ -137,7 +137,7 @@
         return served.model.name
 
     def _candidates(self, index: BundleIndex, work: Work) -> list[Candidate]:
-        if work.kind is Kind.SERVICE:
+        if work.kind is RequestKind.SERVICE:
             return self.directory.for_service(work.name)
         served = index.served.get(work.name)
         if served is None:
@@ -175,9 +175,9 @@
         Waiting requests are limited so that an unavailable model can't take all in-flight slots.
         """
         if state.wait_deadline is None:
-            wait_ms = min(self.wait_ready_ms, state.deadline.left_ms() // 2)
+            wait_ms = min(self.wait_ready_ms, state.deadline.remaining_ms() // 2)
             state.wait_deadline = Deadline(self.clock, wait_ms)
-        if state.wait_deadline.passed() or not state.can_wait_for_target():
+        if state.wait_deadline.has_passed() or not state.can_wait_for_target():
             raise error_from_refusal(state)
         if not self.waiting_slots.acquire(blocking=False):
             raise error_from_refusal(state)
@@ -193,7 +193,7 @@
         self, state: RequestState, index: BundleIndex, candidate: Candidate, link: TargetLink
     ) -> Attempt | None:
         state.attempts += 1
-        remaining_ms = state.deadline.left_ms()
+        remaining_ms = state.deadline.remaining_ms()
         if remaining_ms == 0:
             raise error_from_refusal(state, ResultCode.DEADLINE_UNREACHABLE)
         state.generation = index.generation
@@ -247,7 +247,7 @@
         """Return whether the target refused only a version that a newer bundle has replaced."""
         index = self.holder.current()
         served = index.served.get(state.work.name) if index else None
-        was_replaced = served is not None and served.resident() != candidate.resident
+        was_replaced = served is not None and served.resident_id() != candidate.resident
         return was_replaced and refusal.code is ResultCode.NOT_READY_HERE
 
     def _check_retry(self, state: RequestState) -> None:
@@ -267,7 +267,7 @@
     def _check_cancelled_or_expired(self, state: RequestState) -> None:
         if state.caller_disconnected():
             raise MimosaspurError(ResultCode.CANCELLED, outcome=Outcome.UNKNOWN)
-        if state.deadline.passed():
+        if state.deadline.has_passed():
             raise MimosaspurError(ResultCode.DEADLINE_PASSED, outcome=Outcome.UNKNOWN)
 
     def _chunks(self, state: RequestState, attempt: Attempt, link: TargetLink) -> Iterator[bytes]:
--- a/packages/daemon/src/mimosaspur_daemon/instancelistpoller.py
+++ b/packages/daemon/src/mimosaspur_daemon/instancelistpoller.py
@@ -79,4 +79,4 @@
         hints = list(self.directory.hints.values())
         random.shuffle(hints)
         for hint in hints[:MAX_OUTAGE_CONNECTS]:
-            self.links.get(hint).connect_soon()
+            self.links.get(hint).connect_in_background()
--- a/packages/daemon/src/mimosaspur_daemon/planner_view_builder.py
+++ b/packages/daemon/src/mimosaspur_daemon/planner_view_builder.py
@@ -75,7 +75,7 @@
 
     def build(self, index: BundleIndex, now_ms: int) -> PlannerView:
         """Return the view of the region at this time."""
-        self.former_entries.update({entry.resident(): entry for entry in index.models.values()})
+        self.former_entries.update({entry.resident_id(): entry for entry in index.models.values()})
         placed = self._placed()
         self._record_changes(placed, now_ms)
         self._record_loads(placed, now_ms)
