--- a/features/application.feature
+++ b/features/application.feature
@@ -1,4 +1,5 @@
-Feature: A process hears of the order to stop
+Feature: A process stops gracefully
+  Guards against missed stop signals and against requests cut by the end of the process.
 
   Scenario: A process stops though the signal reaches another of its threads
     Given an application whose main thread blocks the signal to stop
--- a/features/harness/operators.py
+++ b/features/harness/operators.py
@@ -1,4 +1,4 @@
-"""Run the operators' command line as they do."""
+"""Run the operators' command line against an object API stand-in."""
 
 import json
 import subprocess
@@ -20,24 +20,24 @@
 
 @dataclass(slots=True)
 class CommandResult:
-    """Hold how a command ended."""
+    """Represent the exit code and output of a command."""
 
     exit_code: int
     output: str
     errors: str
 
     def value(self) -> Any:
-        """Return the JSON that it printed."""
+        """Return the JSON value on standard output."""
         return json.loads(self.output)
 
     def error(self) -> dict[str, Any]:
-        """Return the error that it printed as JSON."""
-        found: dict[str, Any] = json.loads(self.errors.splitlines()[-1])["error"]
-        return found
+        """Return the JSON error on standard error."""
+        error: dict[str, Any] = json.loads(self.errors.splitlines()[-1])["error"]
+        return error
 
 
 class OperatorCli:
-    """Run commands against one object API stand-in, and prepare what they meet there."""
+    """Run commands against an object API stand-in and set up its objects and faults."""
 
     def __init__(self, processes: Processes) -> None:
         self.processes = processes
@@ -45,7 +45,7 @@
         self.folder = Path(tempfile.mkdtemp(prefix="operators-"))
 
     def start(self, operator: str, *arguments: str) -> Started:
-        """Start a command by an operator, without waiting for its end."""
+        """Start a command as an operator without waiting for it to exit."""
         command = [*COMMAND, *arguments, "--json"]
         environment = {
             "MIMOSASPUR_OBJECT_API": self.api.address,
@@ -54,21 +54,21 @@
         return self.processes.spawn(command, environment=environment)
 
     def wait(self, started: Started) -> CommandResult:
-        """Wait for a command's end, within a bound."""
+        """Wait for a command to exit; raise AssertionError after COMMAND_TIMEOUT_S."""
         try:
             output, _ = started.process.communicate(timeout=COMMAND_TIMEOUT_S)
         except subprocess.TimeoutExpired as error:
             raise AssertionError(
-                f"no end in {COMMAND_TIMEOUT_S} s: {started.error_text()}"
+                f"command still running after {COMMAND_TIMEOUT_S} s: {started.error_text()}"
             ) from error
         return CommandResult(started.process.returncode, output.decode(), started.error_text())
 
     def run(self, operator: str, *arguments: str) -> CommandResult:
-        """Run a command by an operator to its end."""
+        """Run a command as an operator and return its result."""
         return self.wait(self.start(operator, *arguments))
 
     def write_file(self, name: str, text: str) -> Path:
-        """Write a file for a command to read."""
+        """Write a file and return its path."""
         path = self.folder / name
         path.write_text(text, encoding="utf-8")
         return path
@@ -87,14 +87,14 @@
         return response.json()
 
     def create_object(self, key: str, value: object) -> None:
-        """Create an object."""
+        """Create an object in the stand-in; fail if the key exists."""
         self.call("PUT", f"/objects/{key}", value, If_None_Match="*")
 
     def add_fault(self, kind: str, match: str, count: int, delay_ms: int = 0) -> None:
-        """Order a fault; a count of -1 lasts."""
-        wanted = {"kind": kind, "match": match, "count": count, "delay_ms": delay_ms}
-        self.call("POST", "/faults", wanted)
+        """Add a fault to the stand-in; a count of -1 never runs out."""
+        fault = {"kind": kind, "match": match, "count": count, "delay_ms": delay_ms}
+        self.call("POST", "/faults", fault)
 
     def triggered_faults(self) -> int:
-        """Return how often faults struck."""
+        """Return how many calls faults have affected."""
         return sum(fault["struck"] for fault in self.call("GET", "/faults")["faults"])
--- a/features/operators.feature
+++ b/features/operators.feature
@@ -1,6 +1,6 @@
 Feature: Operators write, approve and roll bundles
-  Each step is by a named operator, is audited, and holds also when two operators act at once
-  or the object API's answer is lost.
+  Guards against unapproved, superseded or oversized bundles going in force, and against
+  actions without a named operator or an audit record.
 
   Background:
     Given an operator desk with a target of 1000 MB
--- a/features/operators_faults.feature
+++ b/features/operators_faults.feature
@@ -1,6 +1,6 @@
 Feature: Operators' steps survive lost answers
-  The object API may drop a call, or lose the answer after its write has taken effect. A roll
-  then still counts once, and the audit tells what became of it.
+  Guards against applying a roll twice, or recording a wrong outcome in the audit trail, when the
+  object API drops a call or loses the answer to a write that took effect.
 
   Background:
     Given an operator desk with a target of 1000 MB
--- a/features/platform.feature
+++ b/features/platform.feature
@@ -1,6 +1,6 @@
 Feature: The platform's faults
-  The object API may be slow, out, hung or over its rate: callers are served meanwhile, and the
-  system catches up after it.
+  Guards against failed calls while the object API is slow, failing or hanging, and against
+  rolls that do not complete afterwards.
 
   Scenario Outline: Callers are served while the object API is <fault> for <seconds> s
     Given a platform site with two entries that serves "a@1:300:r2 b@1:300"
--- a/features/platform_calls.feature
+++ b/features/platform_calls.feature
@@ -1,5 +1,5 @@
 Feature: Calls to the object API
-  Each call counts against the platform's rates: an idle site makes few, and a refused one fewer.
+  Guards against an idle site, or one whose calls are refused, exceeding the platform's rates.
 
   Scenario Outline: The object API answers 429 to <calls> and is asked less
     Given a platform site with two entries that serves "a@1:300 b@1:300"
--- a/features/platform_planner.feature
+++ b/features/platform_planner.feature
@@ -1,5 +1,6 @@
-Feature: The planner duty under faults
-  One entry plans at a time; the lease saves work, and the records' versions give safety.
+Feature: Failover of the planner
+  Guards against lost or repeated loads when the planning entry is paused or killed. The lease
+  only avoids duplicate work; the versions of the records prevent conflicting writes.
 
   Scenario: The planning entry is paused past its lease while a write of its own is late
     Given a platform site with two entries that serves "a@1:300 b@1:300"
--- a/features/steps/application_steps.py
+++ b/features/steps/application_steps.py
@@ -1,4 +1,4 @@
-"""Steps of a process that is asked to stop."""
+"""Steps for stopping a process by signal or when it is no longer needed."""
 
 import asyncio
 import json
@@ -25,7 +25,7 @@
 from mimosaspur_state.fleet import TargetRecord
 
 SIGNAL_DELAY_S = 0.2
-# Whoever does not hear of the signal is stopped all the same, so that the scenario ends.
+# Stops an application that misses the signal, so that the scenario ends.
 RUN_TIMEOUT_S = 4.0
 
 
@@ -36,35 +36,35 @@
 
 @given("an application whose main thread blocks the signal to stop")
 def make_application(context: Context) -> None:
-    former = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGINT)}
-    for number, handler in former.items():
+    handlers = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGINT)}
+    for number, handler in handlers.items():
         context.add_cleanup(signal.signal, number, handler)
     context.application = Application()
     context.application.handle_signals()
-    # A thread takes the mask of whoever starts it: this one starts before the signal is blocked.
+    # A thread inherits the signal mask of its starter: start this one before blocking SIGTERM.
     context.sender = threading.Thread(target=_send_signal, daemon=True)
 
 
 @when("another thread of it takes the signal")
 def run_application(context: Context) -> None:
     application: Application = context.application
-    rescue = threading.Timer(RUN_TIMEOUT_S, application.asked_to_stop.put, (None,))
-    rescue.daemon = True
-    began_s = time.monotonic()
+    timer = threading.Timer(RUN_TIMEOUT_S, application.asked_to_stop.put, (None,))
+    timer.daemon = True
+    started_s = time.monotonic()
     context.sender.start()
-    rescue.start()
+    timer.start()
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGTERM,))
     try:
         application.run()
     finally:
         signal.pthread_sigmask(signal.SIG_UNBLOCK, (signal.SIGTERM,))
-        rescue.cancel()
-    context.took_ms = (time.monotonic() - began_s) * 1000
+        timer.cancel()
+    context.stop_ms = (time.monotonic() - started_s) * 1000
 
 
-@then("the application stops within {most_ms:d} ms")
-def check_stopped(context: Context, most_ms: int) -> None:
-    assert context.took_ms <= most_ms, context.took_ms
+@then("the application stops within {max_ms:d} ms")
+def check_stopped(context: Context, max_ms: int) -> None:
+    assert context.stop_ms <= max_ms, context.stop_ms
 
 
 @given("an entry's application that serves callers")
@@ -120,14 +120,14 @@
         application._may_stop = lambda: True
         port = application.callers.server.sockets[0].getsockname()[1]
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        # The entry has taken the connection.
+        # Give the entry time to accept the connection.
         await asyncio.sleep(0.05)
         stopping = asyncio.create_task(application._stop())
         await asyncio.sleep(0 if when == "just then" else int(when.split()[0]) / 1000)
         writer.write(request_bytes("once"))
         answering = asyncio.create_task(read_response(reader))
         await stopping
-        # As when the process ends.
+        # Abort open connections as the exit of the process does.
         for connection in list(application.callers.connections):
             connection.abort()
         context.answer = await answering
--- a/features/steps/operators_steps.py
+++ b/features/steps/operators_steps.py
@@ -1,4 +1,4 @@
-"""Drive the operators' commands and check what they say and leave behind."""
+"""Steps that run operators' commands and check their output and effects."""
 
 import json
 import shutil
@@ -41,9 +41,9 @@
     return {"name": name, "version": version, "memory_mb": memory_mb}
 
 
-def expect_success(ended: CommandResult) -> CommandResult:
-    assert ended.exit_code == 0, f"exit code {ended.exit_code}: {ended.errors}"
-    return ended
+def expect_success(result: CommandResult) -> CommandResult:
+    assert result.exit_code == 0, f"exit code {result.exit_code}: {result.errors}"
+    return result
 
 
 def write_bundle(context: Context, operator: str, name: str, memory_mb: int) -> CommandResult:
@@ -54,16 +54,16 @@
 
 
 def wait_for_fault(cli: OperatorCli) -> None:
-    end = time.monotonic() + FAULT_TIMEOUT_S
+    deadline = time.monotonic() + FAULT_TIMEOUT_S
     while not cli.triggered_faults():
-        assert time.monotonic() < end, "the ordered fault never struck"
+        assert time.monotonic() < deadline, "the fault affected no call before the timeout"
         time.sleep(POLL_INTERVAL_S)
 
 
 def current_roll(context: Context) -> dict[str, Any] | None:
     status = expect_success(cli_of(context).run("", "bundle", "status")).value()
-    found: dict[str, Any] | None = status["current"]
-    return found
+    current: dict[str, Any] | None = status["current"]
+    return current
 
 
 @given("an operator desk with a target of {memory_mb:d} MB")
@@ -164,53 +164,55 @@
     }
     del settings["entry"][key]
     path = cli_of(context).write_file("settings.json", json.dumps(settings))
-    context.ended = cli_of(context).run(operator, "settings", "check", str(path))
+    context.result = cli_of(context).run(operator, "settings", "check", str(path))
 
 
 @when('operator "{operator}" writes bundle "{name}"')
 def operator_writes(context: Context, operator: str, name: str) -> None:
-    context.ended = write_bundle(context, operator, name, memory_mb=200)
+    context.result = write_bundle(context, operator, name, memory_mb=200)
 
 
 @when('operator "{operator}" writes a bundle with {fault}')
 def operator_writes_bad(context: Context, operator: str, fault: str) -> None:
     path = cli_of(context).write_file("bad.json", INVALID_BUNDLES[fault])
-    context.ended = cli_of(context).run(operator, "bundle", "write", str(path))
+    context.result = cli_of(context).run(operator, "bundle", "write", str(path))
 
 
 @when('operator "{operator}" runs "{arguments}"')
 def operator_runs(context: Context, operator: str, arguments: str) -> None:
-    context.ended = cli_of(context).run(operator, *arguments.split())
+    context.result = cli_of(context).run(operator, *arguments.split())
 
 
 @when('an operator without a name runs "{arguments}"')
 def operator_without_name_runs(context: Context, arguments: str) -> None:
-    context.ended = cli_of(context).run("", *arguments.split())
+    context.result = cli_of(context).run("", *arguments.split())
 
 
 @when('operators "{first}" and "{second}" roll "{one}" and "{other}" at the same moment')
 def operators_roll_at_once(context: Context, first: str, second: str, one: str, other: str) -> None:
     cli = cli_of(context)
-    # The first write of the head is held until the other operator had time to write it too.
+    # Delay the first write of the head so that the other operator writes it meanwhile.
     cli.add_fault("slow", "PUT /objects/head", 1, HEAD_WRITE_DELAY_MS)
     started = cli.start(first, "bundle", "roll", one)
     wait_for_fault(cli)
-    ended = cli.run(second, "bundle", "roll", other)
-    context.rolls = {one: cli.wait(started), other: ended}
+    other_result = cli.run(second, "bundle", "roll", other)
+    context.rolls = {one: cli.wait(started), other: other_result}
 
 
 @then("just one operator won and the other was told who")
 def just_one_operator_won(context: Context) -> None:
-    rolls: dict[str, CommandResult] = context.rolls
-    won = [name for name, ended in rolls.items() if ended.exit_code == 0]
-    assert len(won) == 1, {name: (item.exit_code, item.errors) for name, item in rolls.items()}
-    lost = next(ended for name, ended in rolls.items() if name not in won)
-    assert lost.exit_code == 1, lost
-    error = lost.error()
+    results: dict[str, CommandResult] = context.rolls
+    winners = [name for name, result in results.items() if result.exit_code == 0]
+    assert len(winners) == 1, {
+        name: (item.exit_code, item.errors) for name, item in results.items()
+    }
+    loser = next(result for name, result in results.items() if name not in winners)
+    assert loser.exit_code == 1, loser
+    error = loser.error()
     assert error["name"] in ("ROLL_CONFLICT", "SUPERSEDED"), error
     current = current_roll(context)
-    assert current and current["bundle"] == won[0], current
-    assert won[0] in error["detail"] and current["operator"] in error["detail"], error
+    assert current and current["bundle"] == winners[0], current
+    assert winners[0] in error["detail"] and current["operator"] in error["detail"], error
     assert f"generation {current['generation']} " in error["detail"], error
 
 
@@ -227,34 +229,36 @@
 
 @then("the operator's command succeeds")
 def operator_command_succeeds(context: Context) -> None:
-    expect_success(context.ended)
+    expect_success(context.result)
 
 
 @then('the operator\'s command exits {exit_code:d} with error {code:d} "{name}"')
 def operator_command_fails(context: Context, exit_code: int, code: int, name: str) -> None:
-    ended: CommandResult = context.ended
-    assert ended.exit_code == exit_code, f"exit code {ended.exit_code}: {ended.errors}"
-    error = ended.error()
+    result: CommandResult = context.result
+    assert result.exit_code == exit_code, f"exit code {result.exit_code}: {result.errors}"
+    error = result.error()
     assert (error["code"], error["name"]) == (code, name), error
 
 
 @then('the operator\'s command exits {exit_code:d} and says "{text}"')
 def operator_command_exits(context: Context, exit_code: int, text: str) -> None:
-    ended: CommandResult = context.ended
-    assert ended.exit_code == exit_code, f"exit code {ended.exit_code}: {ended.errors}"
-    assert text in ended.output + ended.errors, ended
+    result: CommandResult = context.result
+    assert result.exit_code == exit_code, f"exit code {result.exit_code}: {result.errors}"
+    assert text in result.output + result.errors, result
 
 
 @then('the operator reads "{text}"')
 def operator_reads(context: Context, text: str) -> None:
-    ended: CommandResult = context.ended
-    assert text in ended.output + ended.errors, ended
+    result: CommandResult = context.result
+    assert text in result.output + result.errors, result
 
 
 @then('the operator reads in the audit that "{operator}" {action} "{subject}": {outcome}')
 def operator_reads_audit(
     context: Context, operator: str, action: str, subject: str, outcome: str
 ) -> None:
-    steps = expect_success(cli_of(context).run("", "audit")).value()
-    found = [(item["operator"], item["action"], item["subject"], item["outcome"]) for item in steps]
-    assert (operator, action, subject, outcome) in found, steps
+    actions = expect_success(cli_of(context).run("", "audit")).value()
+    recorded = [
+        (item["operator"], item["action"], item["subject"], item["outcome"]) for item in actions
+    ]
+    assert (operator, action, subject, outcome) in recorded, actions
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the platform's faults and of the planner duty under them."""
+"""Steps for faults of the object API and failover of the planner."""
 
 import time
 from functools import partial
@@ -67,9 +67,9 @@
     samplers = _start_samplers(context, bundle)
     roll_platform(context, bundle)
     site, rolled_at = context.site, time.monotonic()
-    # Asking the records would be slow too, so the engines alone tell when it is done.
-    wanted = set(residents_of(bundle).values())
-    wait_for(lambda: _resident_ids(site) == wanted, "the roll in a slow API", bound_s=30)
+    # Poll the engines: reads of the placement records are slowed down too.
+    expected = set(residents_of(bundle).values())
+    wait_for(lambda: _resident_ids(site) == expected, "the roll in a slow API", bound_s=30)
     print(f"MEASURED slow roll done after {time.monotonic() - rolled_at:.1f} s")
     _stop_samplers(context, samplers)
 
@@ -91,14 +91,18 @@
 @then("the platform site holds just that within {bound:d} s")
 def check_rolled(context: Context, bound: int) -> None:
     site = context.site
-    held = partial(rolled, site, context.bundle)
-    wait_for(held, f"{context.bundle}; {_resident_ids(site)}", bound_s=bound)
+    is_rolled = partial(rolled, site, context.bundle)
+    wait_for(is_rolled, f"{context.bundle}; {_resident_ids(site)}", bound_s=bound)
     print(f"MEASURED rolled after {time.monotonic() - context.rolled_at:.1f} s")
 
 
 @then('the platform site holds just "{bundle}" within {bound:d} s')
 def check_holds(context: Context, bundle: str, bound: int) -> None:
-    running = {name: it for name, it in context.site.engines.items() if it.process.poll() is None}
+    running = {
+        name: engine
+        for name, engine in context.site.engines.items()
+        if engine.process.poll() is None
+    }
     context.site.engines = running
     wait_for(partial(rolled, context.site, bundle), bundle, bound_s=bound)
 
@@ -131,18 +135,24 @@
         site.restart(name)
     for name in ("entry-0", "entry-1"):
         site.await_served(name, *context.names)
-    wait_for(lambda: _planner_holder(site) in site.daemons, "an entry plans", bound_s=15)
+    wait_for(
+        lambda: _planner_holder(site) in site.daemons,
+        "an entry holds the planner lease",
+        bound_s=15,
+    )
 
 
 @when("the platform site is idle for {seconds:d} s")
 def stay_idle(context: Context, seconds: int) -> None:
     site = context.site
-    # The lease that a killed entry held runs out first; the new holder lists before it watches.
+    # Wait until a killed holder's lease has expired and its successor has done its first list.
     for _ in range(2):
         wait_for(
-            partial(_lease_renewed, site, _lease_version(site)), "a beat of the planner", bound_s=20
+            partial(_lease_renewed, site, _lease_version(site)),
+            "a renewal of the planner lease",
+            bound_s=20,
         )
-    context.planning = _planner_holder(site)
+    context.planner = _planner_holder(site)
     _measure_call_rates(context, seconds)
 
 
@@ -151,31 +161,31 @@
     "and the planning one {planner:g}"
 )
 def check_idle(context: Context, target: float, entry: float, planner: float) -> None:
-    print(f"MEASURED calls a second {context.rates}, {context.planning} plans")
+    print(f"MEASURED calls a second {context.rates}, {context.planner} plans")
     for name, daemon in context.site.daemons.items():
         bound = target if daemon.role == "target" else entry
-        bound = planner if name == context.planning else bound
+        bound = planner if name == context.planner else bound
         assert context.rates.get(name, 0) <= bound, (name, context.rates)
 
 
 @when('the planning entry is paused with a late write while the site rolls "{bundle}"')
 def pause_with_late_write(context: Context, bundle: str) -> None:
     site = context.site
-    context.former = _planner_holder(site)
+    context.former_planner = _planner_holder(site)
     add_fault(
         site.api, "late", match="PUT /objects/placement", count=1, delay_ms=LATE_WRITE_DELAY_MS
     )
     roll_platform(context, bundle)
     wait_for(lambda: struck(site.api) == 1, "a write of the planning entry")
-    site.pause(context.former)
+    site.pause(context.former_planner)
     context.lost_at = time.monotonic()
 
 
 @when('the planning entry is killed while the site rolls "{bundle}"')
 def kill_planning(context: Context, bundle: str) -> None:
     site = context.site
-    context.former = _planner_holder(site)
-    site.kill(context.former)
+    context.former_planner = _planner_holder(site)
+    site.kill(context.former_planner)
     context.lost_at = time.monotonic()
     roll_platform(context, bundle)
 
@@ -183,60 +193,64 @@
 @when('the planning entry is paused while the holder of "{name}" is killed with its engine')
 def pause_and_kill(context: Context, name: str) -> None:
     site = context.site
-    context.former = _planner_holder(site)
-    site.pause(context.former)
+    context.former_planner = _planner_holder(site)
+    site.pause(context.former_planner)
     context.lost_at = time.monotonic()
-    (found,) = site.replicas(name)
-    target = found.split()[0]
+    (replica,) = site.replicas(name)
+    target = replica.split()[0]
     site.kill(target)
     site.kill_engine(target)
-    context.entry = next(it for it in ("entry-0", "entry-1") if it != context.former)
+    context.entry = next(it for it in ("entry-0", "entry-1") if it != context.former_planner)
 
 
 @then("another entry plans within {bound:d} s")
 def check_successor(context: Context, bound: int) -> None:
     site = context.site
-    wait_for(lambda: _planner_holder(site) != context.former, "another plans", bound_s=bound)
+    wait_for(
+        lambda: _planner_holder(site) != context.former_planner,
+        "another entry holds the planner lease",
+        bound_s=bound,
+    )
     print(f"MEASURED another plans after {time.monotonic() - context.lost_at:.1f} s")
 
 
 @when("the planning entry that was paused goes on")
 def resume_planning(context: Context) -> None:
     context.versions = _placement_versions(context)
-    context.site.go_on(context.former)
+    context.site.go_on(context.former_planner)
 
 
 @then("its late writes changed nothing and each resident was loaded once")
 def check_late_write(context: Context) -> None:
     site = context.site
-    late_s = context.lost_at + LATE_WRITE_DELAY_MS / 1000 + 1.0 - time.monotonic()
-    # The late write arrives at a known time; the site must hold the same after it.
-    time.sleep(max(1.0, late_s))
+    remaining_s = context.lost_at + LATE_WRITE_DELAY_MS / 1000 + 1.0 - time.monotonic()
+    # Check after the delayed write has arrived: it must not have changed anything.
+    time.sleep(max(1.0, remaining_s))
     assert rolled(site, context.bundle), (context.bundle, _resident_ids(site))
     assert _placement_versions(context) == context.versions, (context.versions, site.replicas("a"))
     loaded = [
-        it["id"]
+        order["id"]
         for log in engine_logs(site).values()
-        for it in log["orders"]
-        if it["kind"] == "load"
+        for order in log["orders"]
+        if order["kind"] == "load"
     ]
     assert sorted(loaded) == ["a@1", "a@2", "b@1"], loaded
 
 
 def _planner_holder(site: Site) -> str:
-    found = site.store().get(keys.planner_lease(REGION))
-    return str(found.value["holder"]) if found else ""
+    lease = site.store().get(keys.planner_lease(REGION))
+    return str(lease.value["holder"]) if lease else ""
 
 
 def _placement_versions(context: Context) -> dict[str, int]:
     store = context.site.store()
-    found = {name: store.get(keys.placement(REGION, name)) for name in context.names}
-    return {name: item.version for name, item in found.items() if item}
+    records = {name: store.get(keys.placement(REGION, name)) for name in context.names}
+    return {name: item.version for name, item in records.items() if item}
 
 
 def _lease_version(site: Site) -> int:
-    found = site.store().get(keys.planner_lease(REGION))
-    return found.version if found else 0
+    lease = site.store().get(keys.planner_lease(REGION))
+    return lease.version if lease else 0
 
 
 def _lease_renewed(site: Site, version: int) -> bool:
@@ -244,17 +258,17 @@
 
 
 def _resident_ids(site: Site) -> set[str]:
-    found = set()
+    ids = set()
     for engine in site.engines.values():
         residents = call(engine.address, "GET", "/admin/state")["residents"]
-        found |= {item["id"] for item in residents}
-    return found
+        ids |= {item["id"] for item in residents}
+    return ids
 
 
 def _start_samplers(context: Context, bundle: str) -> list[Sampler]:
     first, second = residents_of(context.bundle), residents_of(bundle)
-    may_be = {name: {first[name], second[name]} for name in second}
-    samplers = [Sampler(context.site, entry, may_be) for entry in ("entry-0", "entry-1")]
+    expected = {name: {first[name], second[name]} for name in second}
+    samplers = [Sampler(context.site, entry, expected) for entry in ("entry-0", "entry-1")]
     for sampler in samplers:
         sampler.start()
     return samplers
@@ -270,10 +284,10 @@
     site = context.site
     call(site.api, "DELETE", "/counts")
     time.sleep(seconds)
-    counted = call(site.api, "GET", "/counts")["by_caller"]
-    print(f"MEASURED calls {counted}")
+    calls_by_caller = call(site.api, "GET", "/counts")["by_caller"]
+    print(f"MEASURED calls {calls_by_caller}")
     context.rates = {
         name: round(sum(kinds.get(kind, 0) for kind in CALL_KINDS) / seconds, 2)
-        for name, kinds in counted.items()
+        for name, kinds in calls_by_caller.items()
         if name in site.daemons
     }
--- a/packages/cli/src/mimosaspur_cli/__init__.py
+++ b/packages/cli/src/mimosaspur_cli/__init__.py
@@ -1,1 +1,1 @@
-"""Offer the command line for operators."""
+"""Command line for operators."""
--- a/packages/cli/src/mimosaspur_cli/bundlecommands.py
+++ b/packages/cli/src/mimosaspur_cli/bundlecommands.py
@@ -1,4 +1,4 @@
-"""Offer the commands on bundles."""
+"""Define the bundle commands."""
 
 from pathlib import Path
 from typing import Annotated
@@ -32,7 +32,7 @@
 File = Annotated[Path, typer.Argument(help="A bundle as JSON with comments.")]
 WithoutFitCheck = Annotated[
     bool,
-    typer.Option("--without-fit-check", help="Roll although no target's status is known."),
+    typer.Option("--without-fit-check", help="Roll the bundle even if no target status is known."),
 ]
 
 
@@ -76,7 +76,7 @@
 
 @app.command()
 def show(
-    name: Annotated[str, typer.Argument(help="A bundle; the one in force if left out.")] = "",
+    name: Annotated[str, typer.Argument(help="A bundle; the one in force if omitted.")] = "",
     object_api: ObjectApi = "",
     as_json: AsJson = False,
 ) -> None:
@@ -91,13 +91,13 @@
     object_api: ObjectApi = "",
     as_json: AsJson = False,
 ) -> None:
-    """Show what changes from the first bundle to the second, or from the one in force to one."""
+    """Compare two bundles, or the bundle in force with one bundle."""
     print_result(bundleoperations.diff(connect_or_exit(object_api), first, second), as_json=as_json)
 
 
 @app.command()
 def status(object_api: ObjectApi = "", as_json: AsJson = False) -> None:
-    """Show what is in force, and what is written or approved but not rolled."""
+    """Show the bundle in force and the bundles that are not rolled yet."""
     print_result(bundleoperations.status(connect_or_exit(object_api)), as_json=as_json)
 
 
@@ -119,10 +119,10 @@
 @format_lines.register
 def _(value: RollResult) -> list[str]:
     roll = value.roll
-    told = f"{roll.bundle} is in force as generation {roll.generation}"
+    summary = f"{roll.bundle} is in force as generation {roll.generation}"
     if value.already:
-        return [f"{told} already; {roll.operator} rolled it at {format_time(roll.at_ms)}."]
-    return [f"{told}."]
+        return [f"{summary} already; {roll.operator} rolled it at {format_time(roll.at_ms)}."]
+    return [f"{summary}."]
 
 
 @format_lines.register
@@ -148,7 +148,7 @@
 
 def _waiting_lines(bundles: list[WaitingBundle]) -> list[str]:
     if not bundles:
-        return ["No bundle waits."]
+        return ["No bundle is waiting to be rolled."]
     rows = [["not rolled", "written by", "approved by", "against", ""]]
     for bundle in bundles:
         note = "superseded, write it again" if bundle.superseded else ""
--- a/packages/cli/src/mimosaspur_cli/bundlefile.py
+++ b/packages/cli/src/mimosaspur_cli/bundlefile.py
@@ -11,13 +11,13 @@
 
 
 def read_bundle_file(path: Path) -> Bundle:
-    """Return the bundle that a file holds; raise BAD_BUNDLE naming the file and the fault."""
+    """Return the bundle in a file; raise MimosaspurError (BAD_BUNDLE) if it is invalid."""
     try:
         value = pyjson5.decode(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
-        raise _bad_bundle(path, f"it can't be read ({error})") from error
+        raise _bad_bundle(path, f"cannot read the file ({error})") from error
     except pyjson5.Json5Exception as error:
-        raise _bad_bundle(path, f"it is not JSON with comments ({error.message})") from error
+        raise _bad_bundle(path, f"not valid JSON with comments ({error.message})") from error
     try:
         return bundle_from_value(value)
     except MimosaspurError as error:
--- a/packages/cli/src/mimosaspur_cli/bundleoperations.py
+++ b/packages/cli/src/mimosaspur_cli/bundleoperations.py
@@ -1,4 +1,4 @@
-"""Carry out operators' steps on bundles."""
+"""Perform operators' actions on bundles."""
 
 from pathlib import Path
 
@@ -19,13 +19,13 @@
 
 
 def write(platform: Platform, path: Path, operator: str) -> Result[WrittenBundle, MimosaspurError]:
-    """Write the bundle that a file holds."""
+    """Write the bundle in a file."""
 
-    def do() -> WrittenBundle:
+    def operation() -> WrittenBundle:
         bundle = read_bundle_file(path)
         return rolls.write_bundle(platform.store, platform.clock, bundle, operator=operator)
 
-    return run_operation(do)
+    return run_operation(operation)
 
 
 def approve(platform: Platform, name: str, operator: str) -> Result[Approval, MimosaspurError]:
@@ -51,23 +51,23 @@
 
 
 def show(platform: Platform, name: str) -> Result[WrittenBundle, MimosaspurError]:
-    """Return a written bundle; the one in force if no name is given."""
+    """Return a written bundle, or the one in force if no name is given."""
     return run_operation(lambda: _read_bundle_or_current(platform, name))
 
 
 def diff(platform: Platform, first: str, second: str) -> Result[list[Difference], MimosaspurError]:
-    """Compare two written bundles; one alone is compared with the one in force."""
+    """Compare two written bundles, or the one in force with a single bundle."""
 
-    def do() -> list[Difference]:
+    def operation() -> list[Difference]:
         before = _read_bundle_or_current(platform, first if second else "")
         after = _read_bundle_or_current(platform, second or first)
         return bundlestatus.diff(before.bundle, after.bundle)
 
-    return run_operation(do)
+    return run_operation(operation)
 
 
 def status(platform: Platform) -> Result[BundleStatus, MimosaspurError]:
-    """Return what is in force and what waits."""
+    """Return the bundle in force and the bundles that are not rolled yet."""
     return run_operation(lambda: bundlestatus.status(platform.store))
 
 
--- a/packages/cli/src/mimosaspur_cli/exitcodes.py
+++ b/packages/cli/src/mimosaspur_cli/exitcodes.py
@@ -1,4 +1,4 @@
-"""Number the exit codes of the command line."""
+"""Define the exit codes of the command line."""
 
 from enum import IntEnum
 
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """Tell programs how a command ended."""
+    """Report to the shell how a command ended."""
 
     OK = 0
     REFUSED = 1
--- a/packages/cli/src/mimosaspur_cli/instancecommands.py
+++ b/packages/cli/src/mimosaspur_cli/instancecommands.py
@@ -1,4 +1,4 @@
-"""Offer the commands on instances."""
+"""Define the instance commands."""
 
 import sys
 from typing import Annotated
@@ -20,17 +20,17 @@
 from mimosaspur_cli.output import format_time
 from mimosaspur_cli.output import print_result
 
-app = typer.Typer(help="See instances and plan their departure.", no_args_is_help=True)
+app = typer.Typer(help="List and drain instances.", no_args_is_help=True)
 
 Name = Annotated[str, typer.Argument(help="The instance's name.")]
-Reason = Annotated[str, typer.Option("--reason", help="Why it leaves; kept in the audit trail.")]
+Reason = Annotated[str, typer.Option("--reason", help="Reason, kept in the audit trail.")]
 
 
 @app.command("list")
 def list_instances(
     object_api: ObjectApi = "", instance_list: InstanceList = "", as_json: AsJson = False
 ) -> None:
-    """List the instances that are known, and who ordered which to leave."""
+    """List the known instances and the operators who drained them."""
     result = instanceoperations.list_instances(connect_or_exit(object_api, instance_list))
     print_result(result.map(_instance_table) if not as_json else result, as_json=as_json)
 
@@ -44,14 +44,14 @@
     operator: Operator = "",
     as_json: AsJson = False,
 ) -> None:
-    """Order an instance to shut down gracefully; its models are moved first."""
+    """Drain an instance: move its models, then shut it down gracefully."""
     platform = connect_or_exit(object_api, instance_list)
     result = instanceoperations.drain(platform, name, require_operator(operator), reason)
     if result.is_ok() and result.ok.only_ready_of:
         models = ", ".join(result.ok.only_ready_of)
         sys.stderr.write(
             f"warning: {name} holds the only ready replica of {models}; "
-            "it leaves only when these are ready elsewhere\n"
+            "it shuts down only when they are ready on another instance\n"
         )
     print_result(result, as_json=as_json)
 
@@ -60,7 +60,7 @@
 def undrain(
     name: Name, object_api: ObjectApi = "", operator: Operator = "", as_json: AsJson = False
 ) -> None:
-    """Take back the order that an instance leave."""
+    """Cancel an instance's drain order."""
     platform = connect_or_exit(object_api)
     print_result(
         instanceoperations.undrain(platform, name, require_operator(operator)), as_json=as_json
@@ -70,21 +70,21 @@
 @format_lines.register
 def _(value: DrainResult) -> list[str]:
     order = value.order
-    before = "already " if value.already else ""
-    ordered = f"{value.instance} is {before}ordered to leave by {order.operator}"
-    return [f"{ordered} at {format_time(order.at_ms)}: {order.reason}"]
+    prefix = "already " if value.already else ""
+    summary = f"{value.instance} is {prefix}being drained by order of {order.operator}"
+    return [f"{summary} at {format_time(order.at_ms)}: {order.reason}"]
 
 
 @format_lines.register
 def _(value: UndrainResult) -> list[str]:
     if value.was_drained:
-        return [f"{value.instance} is no longer ordered to leave."]
-    return [f"{value.instance} was not ordered to leave."]
+        return [f"The drain of {value.instance} was cancelled."]
+    return [f"{value.instance} was not being drained."]
 
 
 def _instance_table(instances: list[InstanceRow]) -> str:
     rows = [["instance", "role", "region", "failure domain", "address", "state", "drained by"]]
     for item in instances:
-        place = [item.region, item.failure_domain, item.address]
-        rows.append([item.name, item.role, *place, item.state, item.drained_by or "-"])
+        location = [item.region, item.failure_domain, item.address]
+        rows.append([item.name, item.role, *location, item.state, item.drained_by or "-"])
     return "\n".join(format_table(rows))
--- a/packages/cli/src/mimosaspur_cli/instanceoperations.py
+++ b/packages/cli/src/mimosaspur_cli/instanceoperations.py
@@ -1,4 +1,4 @@
-"""Carry out operators' steps on instances."""
+"""Perform operators' actions on instances."""
 
 from dataclasses import dataclass
 from urllib.parse import unquote
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceRow:
-    """Describe an instance by the list, its status and operators' orders."""
+    """Describe an instance from the instance list, its status and drain orders."""
 
     name: str
     role: str
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DrainResult:
-    """Tell the drain order in place and which models have their only ready replica there."""
+    """Represent the drain order and the models whose only ready replica is there."""
 
     instance: str
     order: DrainOrder
@@ -54,21 +54,21 @@
 
 @dataclass(slots=True, frozen=True)
 class UndrainResult:
-    """Tell whether a drain order was taken back."""
+    """Report whether a drain order was cancelled."""
 
     instance: str
     was_drained: bool
 
 
 def list_instances(platform: Platform) -> Result[list[InstanceRow], MimosaspurError]:
-    """Return every instance that the list or a status tells of."""
+    """Return every instance that the instance list or a target status names."""
     return run_operation(lambda: _instance_rows(platform))
 
 
 def drain(
     platform: Platform, name: str, operator: str, reason: str
 ) -> Result[DrainResult, MimosaspurError]:
-    """Order an instance to leave."""
+    """Create a drain order for an instance."""
     step = Step(operator, Action.DRAIN, name, reason)
     order = DrainOrder(operator, reason, platform.clock.wall_ms())
     return run_operation(
@@ -79,7 +79,7 @@
 
 
 def undrain(platform: Platform, name: str, operator: str) -> Result[UndrainResult, MimosaspurError]:
-    """Take back the order that an instance leave."""
+    """Delete an instance's drain order."""
     step = Step(operator, Action.UNDRAIN, name)
     return run_operation(
         lambda: audit.run_audited(
@@ -125,13 +125,13 @@
     only_ready_of = _only_ready_of(platform, name)
     value = order.to_value()
     key = keys.drain(name)
-    settled = create_confirmed(platform.store, key, value, lambda stored: bool(stored == value))
-    if settled.outcome is WriteOutcome.DONE:
+    write = create_confirmed(platform.store, key, value, lambda stored: bool(stored == value))
+    if write.outcome is WriteOutcome.DONE:
         return DrainResult(name, order, already=False, only_ready_of=only_ready_of)
-    if settled.outcome is WriteOutcome.UNSETTLED or settled.stored is None:
+    if write.outcome is WriteOutcome.UNSETTLED or write.stored is None:
         raise MimosaspurError(ResultCode.OUTCOME_UNSETTLED, outcome=Outcome.UNKNOWN)
-    earlier = DrainOrder.from_value(settled.stored.value)
-    return DrainResult(name, earlier, already=True, only_ready_of=only_ready_of)
+    existing = DrainOrder.from_value(write.stored.value)
+    return DrainResult(name, existing, already=True, only_ready_of=only_ready_of)
 
 
 def _undrain(platform: Platform, name: str) -> UndrainResult:
@@ -139,8 +139,8 @@
     stored = read_with_retries(platform.store, key)
     if stored is None:
         return UndrainResult(name, was_drained=False)
-    settled = delete_confirmed(platform.store, key, stored.version)
-    if settled.outcome is not WriteOutcome.DONE:
+    write = delete_confirmed(platform.store, key, stored.version)
+    if write.outcome is not WriteOutcome.DONE:
         raise MimosaspurError(ResultCode.OUTCOME_UNSETTLED, outcome=Outcome.UNKNOWN)
     return UndrainResult(name, was_drained=True)
 
@@ -152,7 +152,7 @@
     try:
         listed = {item.name for item in platform.instance_list.instances()}
     except StoreUnavailable as error:
-        detail = f"no status names {name!r}, and the instance list gave no answer: {error}"
+        detail = f"no status names {name!r}, and the instance list did not answer: {error}"
         raise StoreUnavailable(detail) from error
     if name not in listed:
         detail = f"Neither the instance list nor a status names {name!r}."
--- a/packages/cli/src/mimosaspur_cli/main.py
+++ b/packages/cli/src/mimosaspur_cli/main.py
@@ -19,7 +19,7 @@
 from mimosaspur_cli.output import format_time
 from mimosaspur_cli.output import print_result
 from mimosaspur_cli.platform import run_operation
-from mimosaspur_coordination import audit as trail
+from mimosaspur_coordination import audit as audit_trail
 from mimosaspur_coordination.audit import AuditedStep
 from mimosaspur_state.codes import ResultCode
 from mimosaspur_state.errors import MimosaspurError
@@ -28,7 +28,7 @@
 DEFAULT_AUDIT_LIMIT = 50
 
 app = typer.Typer(
-    help="Drive mimosaspur: write, approve and roll bundles, and plan departures.",
+    help="Operate mimosaspur: write, approve and roll bundles, and drain instances.",
     no_args_is_help=True,
     add_completion=False,
     pretty_exceptions_enable=False,
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckedSettings:
-    """Tell that a settings file is good, and for which role."""
+    """Represent a valid settings file and its role."""
 
     file: str
     role: str
@@ -52,14 +52,14 @@
 @app.command()
 def audit(
     limit: Annotated[
-        int, typer.Option("--limit", min=1, help="How many steps.")
+        int, typer.Option("--limit", min=1, help="Maximum number of actions to show.")
     ] = DEFAULT_AUDIT_LIMIT,
     object_api: ObjectApi = "",
     as_json: AsJson = False,
 ) -> None:
-    """Show operators' steps, newest first, and what became of them."""
+    """Show operators' actions and their outcomes, newest first."""
     platform = connect_or_exit(object_api)
-    print_result(run_operation(lambda: trail.read(platform.store, limit)), as_json=as_json)
+    print_result(run_operation(lambda: audit_trail.read(platform.store, limit)), as_json=as_json)
 
 
 @settings_app.callback()
@@ -72,13 +72,13 @@
     files: Annotated[list[Path], typer.Argument(help="Settings files.")],
     as_json: AsJson = False,
 ) -> None:
-    """Check settings files without starting anything."""
+    """Check settings files without starting a process."""
     failed = False
     for file in files:
         try:
             print_result(run_operation(partial(_check_file, file)), as_json=as_json)
         except typer.Exit:
-            # The other files are checked too, so that one run tells of every fault.
+            # Check the remaining files too, so that one run reports every error.
             failed = True
     if failed:
         raise typer.Exit(ExitCode.BAD_INPUT)
@@ -90,20 +90,20 @@
 
 @format_lines.register
 def _(value: CheckedSettings) -> list[str]:
-    return [f"{value.file}: good settings for the role {value.role}"]
+    return [f"{value.file}: valid settings for the role {value.role}"]
 
 
 @format_lines.register
 def _(value: AuditedStep) -> list[str]:
-    told = f"{format_time(value.at_ms)}  {value.operator}  {value.action} {value.subject}"
-    return [f"{told}: {value.outcome}" + (f" ({value.detail})" if value.detail else "")]
+    summary = f"{format_time(value.at_ms)}  {value.operator}  {value.action} {value.subject}"
+    return [f"{summary}: {value.outcome}" + (f" ({value.detail})" if value.detail else "")]
 
 
 def main() -> None:
-    """Run one command and exit with its code."""
+    """Run one command and exit with its exit code."""
     try:
         app(prog_name="mimosaspur")
-    except Exception as error:  # noqa: BLE001  # whatever goes wrong must end as our exit code
+    except Exception as error:  # noqa: BLE001  # every failure must map to an exit code
         internal = MimosaspurError(ResultCode.INTERNAL, f"{type(error).__name__}: {error}")
         sys.stderr.write(f"error {internal.code.value} ({internal.code.name}): {internal}\n")
         sys.exit(ExitCode.INTERNAL)
--- a/packages/cli/src/mimosaspur_cli/options.py
+++ b/packages/cli/src/mimosaspur_cli/options.py
@@ -1,4 +1,4 @@
-"""Define the options that many commands share."""
+"""Define the options shared by several commands."""
 
 from typing import Annotated
 
@@ -21,18 +21,18 @@
     typer.Option(
         "--instance-list",
         envvar=INSTANCE_LIST_VARIABLE,
-        help="The instance list's ip:port; the object API's if not given.",
+        help="Address of the instance list, ip:port; defaults to the object API's.",
     ),
 ]
 Operator = Annotated[
     str,
-    typer.Option("--operator", envvar=OPERATOR_VARIABLE, help="Who takes this step."),
+    typer.Option("--operator", envvar=OPERATOR_VARIABLE, help="Your name, for the audit trail."),
 ]
 AsJson = Annotated[bool, typer.Option("--json", help="Print JSON for programs.")]
 
 
 def connect_or_exit(object_api: str, instance_list: str = "") -> Platform:
-    """Return the platform at the given addresses, or exit with what is wrong with them."""
+    """Return the platform at the given addresses, or exit with an error if one is invalid."""
     if not object_api:
         exit_with_usage_error(f"give --object-api ip:port or set {OBJECT_API_VARIABLE}")
     try:
@@ -42,9 +42,9 @@
 
 
 def require_operator(operator: str) -> str:
-    """Return the operator's name, or exit if there is none."""
+    """Return the operator's name, or exit with an error if it is empty."""
     if not operator.strip():
         exit_with_usage_error(
-            f"give --operator NAME or set {OPERATOR_VARIABLE}; changes are made by name"
+            f"give --operator NAME or set {OPERATOR_VARIABLE}; the audit trail requires it"
         )
     return operator.strip()
--- a/packages/cli/src/mimosaspur_cli/output.py
+++ b/packages/cli/src/mimosaspur_cli/output.py
@@ -1,4 +1,4 @@
-"""Print results for people or, as JSON, for programs."""
+"""Print results as text or JSON."""
 
 import sys
 from datetime import UTC
@@ -22,7 +22,7 @@
 
 
 def print_result(result: Result[T, MimosaspurError], *, as_json: bool) -> None:
-    """Print a value to standard output, or an error to standard error and exit with its code."""
+    """Print a value to standard output, or an error to standard error and exit."""
     if result.is_error():
         exit_with_error(result.error, as_json=as_json)
     value = result.ok
@@ -31,20 +31,20 @@
 
 
 def exit_with_error(error: MimosaspurError, *, as_json: bool) -> NoReturn:
-    """Print an error and exit."""
+    """Print an error to standard error and exit with its exit code."""
     sys.stderr.write(f"{_error_text(error, as_json=as_json)}\n")
     raise typer.Exit(exit_code_of(error.code))
 
 
 def exit_with_usage_error(message: str) -> NoReturn:
-    """Say what is wrong with the command's options and exit."""
+    """Print a usage error and exit."""
     sys.stderr.write(f"error: {message}\n")
     raise typer.Exit(ExitCode.BAD_INPUT)
 
 
 @singledispatch
 def format_lines(value: object) -> list[str]:
-    """Return a value as lines for people."""
+    """Format a value as lines of text."""
     return [str(value)]
 
 
@@ -64,7 +64,7 @@
 
 
 def format_table(rows: list[list[str]]) -> list[str]:
-    """Lay rows out in columns."""
+    """Format rows as lines with aligned columns."""
     widths = [max(len(cell) for cell in column) for column in zip(*rows, strict=True)]
     return [
         COLUMN_GAP.join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
@@ -73,7 +73,7 @@
 
 
 def format_time(at_ms: int) -> str:
-    """Return a wall time for people, in UTC."""
+    """Format a Unix time in milliseconds as ISO 8601 in UTC."""
     return datetime.fromtimestamp(at_ms / MS_PER_SECOND, UTC).isoformat(timespec="milliseconds")
 
 
--- a/packages/cli/src/mimosaspur_cli/placementcommands.py
+++ b/packages/cli/src/mimosaspur_cli/placementcommands.py
@@ -1,4 +1,4 @@
-"""Offer the commands on placement."""
+"""Define the placement commands."""
 
 from typing import Annotated
 
@@ -15,21 +15,21 @@
 from mimosaspur_cli.placements import read_placement_view
 from mimosaspur_cli.platform import run_operation
 
-app = typer.Typer(help="See where models are placed.", no_args_is_help=True)
+app = typer.Typer(help="Show where models are placed.", no_args_is_help=True)
 
 
 @app.callback()
 def placement() -> None:
-    """See where models are placed."""
+    """Show where models are placed."""
 
 
 @app.command()
 def show(
-    model: Annotated[str, typer.Argument(help="A model; all if left out.")] = "",
+    model: Annotated[str, typer.Argument(help="A model; all models if omitted.")] = "",
     object_api: ObjectApi = "",
     as_json: AsJson = False,
 ) -> None:
-    """Show the replicas of models in every region, and count them."""
+    """Show the replicas of models in every region and their counts."""
     platform = connect_or_exit(object_api)
     print_result(run_operation(lambda: read_placement_view(platform.store, model)), as_json=as_json)
 
@@ -40,8 +40,8 @@
     for item in value.placements:
         record = item.record
         for replica in record.replicas:
-            told = [replica.target, replica.version, replica.state.value]
-            rows.append([item.region, record.model, *told])
+            cells = [replica.target, replica.version, replica.state.value]
+            rows.append([item.region, record.model, *cells])
         if not record.replicas:
             rows.append([item.region, record.model, "-", "-", "-"])
     counts = [line for region in value.counts for line in format_lines(region)]
@@ -50,7 +50,7 @@
 
 @format_lines.register
 def _(value: RegionCounts) -> list[str]:
-    told = f"{value.region}: {value.models} models, {value.ready} replicas ready"
+    summary = f"{value.region}: {value.models} models, {value.ready} replicas ready"
     missing = ", ".join(value.without_ready)
     note = [f"{value.region}: no ready replica of {missing}"] if missing else []
-    return [f"{told}, {value.load} to load, {value.leaving} leaving", *note]
+    return [f"{summary}, {value.load} to load, {value.leaving} leaving", *note]
--- a/packages/cli/src/mimosaspur_cli/placements.py
+++ b/packages/cli/src/mimosaspur_cli/placements.py
@@ -1,4 +1,4 @@
-"""Read where models are placed."""
+"""Read placement records and count replicas."""
 
 from dataclasses import dataclass
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Placement:
-    """Hold one model's placement record and its region."""
+    """Represent one model's placement record in a region."""
 
     region: str
     record: PlacementRecord
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RegionCounts:
-    """Count a region's replicas by state, and name what the bundle wants that is not ready."""
+    """Count a region's replicas by state and list the bundle's models without a ready one."""
 
     region: str
     models: int
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PlacementView:
-    """Hold the placements and their counts."""
+    """Represent placements and their counts by region."""
 
     placements: list[Placement]
     counts: list[RegionCounts]
@@ -51,15 +51,15 @@
 
 
 def read_placement_view(store: ObjectStore, model: str) -> PlacementView:
-    """Return the placements of one model, or of all, and the counts over them."""
+    """Return the placements of one model, or of all if empty, with counts by region."""
     placements = read_placements(store)
     if model:
         placements = [item for item in placements if item.record.model == model]
-    wanted = _bundle_models(store, model)
-    # A region whose targets report, but where nothing is placed, lacks every model.
+    expected = _bundle_models(store, model)
+    # Include regions with targets but without placements: they lack every model.
     regions = sorted({*statuses_by_region(store), *(item.region for item in placements)})
     return PlacementView(
-        placements, [_count_replicas(region, placements, wanted) for region in regions]
+        placements, [_count_replicas(region, placements, expected) for region in regions]
     )
 
 
@@ -71,15 +71,15 @@
     return {entry.name for entry in bundle.models if model in ("", entry.name)}
 
 
-def _count_replicas(region: str, placements: list[Placement], wanted: set[str]) -> RegionCounts:
+def _count_replicas(region: str, placements: list[Placement], expected: set[str]) -> RegionCounts:
     records = [item.record for item in placements if item.region == region]
     states = [replica.state for record in records for replica in record.replicas]
-    reachable = {record.model for record in records if record.ready()}
+    ready_models = {record.model for record in records if record.ready()}
     return RegionCounts(
         region=region,
         models=len(records),
         load=states.count(ReplicaState.LOAD),
         ready=states.count(ReplicaState.READY),
         leaving=states.count(ReplicaState.LEAVING),
-        without_ready=sorted(wanted - reachable),
+        without_ready=sorted(expected - ready_models),
     )
--- a/packages/cli/src/mimosaspur_cli/platform.py
+++ b/packages/cli/src/mimosaspur_cli/platform.py
@@ -1,4 +1,4 @@
-"""Reach the platform on an operator's behalf."""
+"""Connect to the platform and run operations on it."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Platform:
-    """Hold what an operator's step needs of the platform."""
+    """Hold the platform clients and the clock that an operation uses."""
 
     store: ObjectStore
     instance_list: InstanceListClient
@@ -37,7 +37,7 @@
 
 
 class PlatformUnavailableError(MimosaspurError):
-    """Say that a step did not reach its change, since the platform gave no answer."""
+    """Report that the platform did not answer before an operation changed anything."""
 
     def __init__(self, cause: str) -> None:
         super().__init__(ResultCode.PLATFORM_DOWN, cause)
@@ -47,7 +47,7 @@
 
 
 def connect(object_api: str, instance_list: str) -> Platform:
-    """Prepare calls to the platform; raise ValueError for a bad address."""
+    """Create the platform's clients; raise ValueError for an invalid address."""
     clock = SystemClock()
     store = HttpObjectStore(
         object_api,
@@ -57,16 +57,16 @@
         reads_per_second=READS_PER_SECOND,
         writes_per_second=WRITES_PER_SECOND,
     )
-    listing = InstanceListClient(
+    instance_list_client = InstanceListClient(
         instance_list or object_api, caller=CALLER_NAME, timeout_ms=CALL_TIMEOUT_MS, clock=clock
     )
-    return Platform(store, listing, clock)
+    return Platform(store, instance_list_client, clock)
 
 
-def run_operation(do: Callable[[], T]) -> Result[T, MimosaspurError]:
-    """Do an operator's step and return its value or its numbered error."""
+def run_operation(operation: Callable[[], T]) -> Result[T, MimosaspurError]:
+    """Run an operation and return its value or the error that it raised."""
     try:
-        return Ok(do())
+        return Ok(operation())
     except MimosaspurError as error:
         return Error(error)
     except StoreUnavailable as error:
