--- a/features/steps/application_steps.py
+++ b/features/steps/application_steps.py
@@ -48,7 +48,7 @@
 @when("another thread of it takes the signal")
 def run_application(context: Context) -> None:
     application: Application = context.application
-    timer = threading.Timer(RUN_TIMEOUT_S, application.asked_to_stop.put, (None,))
+    timer = threading.Timer(RUN_TIMEOUT_S, application.stop_requests.put, (None,))
     timer.daemon = True
     started_s = time.monotonic()
     context.sender.start()
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -14,11 +14,11 @@
 from harness.control import struck
 from harness.control import wait_for
 from harness.reach_world import Sampler
-from harness.reach_world import bundle_of
 from harness.reach_world import engine_logs
-from harness.reach_world import names_of
-from harness.reach_world import residents_of
-from harness.reach_world import rolled
+from harness.reach_world import is_roll_complete
+from harness.reach_world import parse_models
+from harness.reach_world import residents_by_name
+from harness.reach_world import served_names
 from harness.site import REGION
 from harness.site import Site
 from harness.site import begin_site
@@ -39,12 +39,12 @@
     for number in range(2):
         site.entry(f"entry-{number}")
     site.await_targets()
-    site.roll("first", bundle_of(bundle))
+    site.roll("first", parse_models(bundle))
     context.bundle = bundle
-    context.names = names_of(bundle)
+    context.names = served_names(bundle)
     for name in ("entry-0", "entry-1"):
         site.await_served(name, *context.names)
-    wait_for(partial(rolled, site, bundle), "the first bundle's replicas")
+    wait_for(partial(is_roll_complete, site, bundle), "the first bundle's replicas")
 
 
 @when("the platform's API is {fault} for {seconds:d} s while every name is sampled")
@@ -68,7 +68,7 @@
     roll_platform(context, bundle)
     site, rolled_at = context.site, time.monotonic()
     # Poll the engines: reads of the placement records are slowed down too.
-    expected = set(residents_of(bundle).values())
+    expected = set(residents_by_name(bundle).values())
     wait_for(lambda: _resident_ids(site) == expected, "the roll in a slow API", bound_s=30)
     print(f"MEASURED slow roll done after {time.monotonic() - rolled_at:.1f} s")
     _stop_samplers(context, samplers)
@@ -77,21 +77,21 @@
 @then("none of the platform samples failed")
 def check_platform_samples(context: Context) -> None:
     for sampler in context.samplers:
-        assert all(count > 10 for count in sampler.asked.values()), sampler.asked
-        assert not sampler.failures, (sampler.entry, sampler.asked, sampler.failures[:5])
+        assert all(count > 10 for count in sampler.request_counts.values()), sampler.request_counts
+        assert not sampler.failures, (sampler.entry, sampler.request_counts, sampler.failures[:5])
 
 
 @when('the platform site rolls "{bundle}"')
 def roll_platform(context: Context, bundle: str) -> None:
     context.rolled_at = time.monotonic()
-    context.site.roll("second", bundle_of(bundle))
+    context.site.roll("second", parse_models(bundle))
     context.bundle = bundle
 
 
 @then("the platform site holds just that within {bound:d} s")
 def check_rolled(context: Context, bound: int) -> None:
     site = context.site
-    is_rolled = partial(rolled, site, context.bundle)
+    is_rolled = partial(is_roll_complete, site, context.bundle)
     wait_for(is_rolled, f"{context.bundle}; {_resident_ids(site)}", bound_s=bound)
     print(f"MEASURED rolled after {time.monotonic() - context.rolled_at:.1f} s")
 
@@ -104,7 +104,7 @@
         if engine.process.poll() is None
     }
     context.site.engines = running
-    wait_for(partial(rolled, context.site, bundle), bundle, bound_s=bound)
+    wait_for(partial(is_roll_complete, context.site, bundle), bundle, bound_s=bound)
 
 
 @when('the platform\'s API answers 429 to "{calls}" for {seconds:d} s')
@@ -226,7 +226,7 @@
     remaining_s = context.lost_at + LATE_WRITE_DELAY_MS / 1000 + 1.0 - time.monotonic()
     # Check after the delayed write has arrived: it must not have changed anything.
     time.sleep(max(1.0, remaining_s))
-    assert rolled(site, context.bundle), (context.bundle, _resident_ids(site))
+    assert is_roll_complete(site, context.bundle), (context.bundle, _resident_ids(site))
     assert _placement_versions(context) == context.versions, (context.versions, site.replicas("a"))
     loaded = [
         order["id"]
@@ -266,7 +266,7 @@
 
 
 def _start_samplers(context: Context, bundle: str) -> list[Sampler]:
-    first, second = residents_of(context.bundle), residents_of(bundle)
+    first, second = residents_by_name(context.bundle), residents_by_name(bundle)
     expected = {name: {first[name], second[name]} for name in second}
     samplers = [Sampler(context.site, entry, expected) for entry in ("entry-0", "entry-1")]
     for sampler in samplers:
