--- a/packages/coordination/src/mimosaspur_coordination/abandonedclaims.py
+++ b/packages/coordination/src/mimosaspur_coordination/abandonedclaims.py
@@ -65,4 +65,4 @@
         except StoreUnavailable:
             return False
         # Absent, or held by another attempt: our write may still take effect later.
-        return claim.late_write_deadline.passed()
+        return claim.late_write_deadline.has_passed()
--- a/packages/coordination/src/mimosaspur_coordination/claims.py
+++ b/packages/coordination/src/mimosaspur_coordination/claims.py
@@ -130,7 +130,7 @@
 
     def _check_reachable(self) -> None:
         # Fails fast for a second after the API timed out, so that few requests wait for it.
-        if not self.unavailable_until.passed():
+        if not self.unavailable_until.has_passed():
             raise _platform_unavailable()
 
     def _check_rate(self) -> None:
@@ -148,7 +148,7 @@
                 return self._resolve_existing(self._read(key, claim), claim)
             except StoreUnavailable:
                 # Always makes a second attempt: it uses a new connection, not a stale one.
-                if attempt and retry_window.passed():
+                if attempt and retry_window.has_passed():
                     break
         raise self._abandon(key, claim)
 
@@ -159,7 +159,7 @@
                 return self.store.get(key)
             except StoreUnavailable:
                 # Always makes a second attempt: it uses a new connection, not a stale one.
-                if attempt and retry_window.passed():
+                if attempt and retry_window.has_passed():
                     break
         raise self._abandon(key, claim)
 
--- a/packages/coordination/src/mimosaspur_coordination/dryrun.py
+++ b/packages/coordination/src/mimosaspur_coordination/dryrun.py
@@ -42,7 +42,7 @@
         self.max_concurrent_loads = max_concurrent_loads
         # The bundle in force takes precedence: it describes what is loaded now.
         self.entries_by_resident = {
-            entry.resident(): entry for entry in (*bundle.models, *in_force.models)
+            entry.resident_id(): entry for entry in (*bundle.models, *in_force.models)
         }
         self.targets = {
             item.instance: DryRunTarget(item, self.entries_by_resident) for item in targets
--- a/packages/coordination/src/mimosaspur_coordination/dryruntarget.py
+++ b/packages/coordination/src/mimosaspur_coordination/dryruntarget.py
@@ -53,8 +53,8 @@
         if chosen is None:
             return False
         self.bin.force_reserve(need, chosen)
-        adapters = {item.resident(): item.memory_mb for item in entry.adapters}
-        self.loaded[entry.resident()] = LoadedReplica(
+        adapters = {item.resident_id(): item.memory_mb for item in entry.adapters}
+        self.loaded[entry.resident_id()] = LoadedReplica(
             chosen, entry.accelerators, entry.total_mb(), adapters
         )
         self._update_status()
@@ -68,9 +68,9 @@
 
     def is_complete(self, entry: ModelEntry) -> bool:
         """Return whether an entry is loaded with all its adapters."""
-        replica = self.loaded.get(entry.resident())
+        replica = self.loaded.get(entry.resident_id())
         return replica is not None and all(
-            it.resident() in replica.adapters for it in entry.adapters
+            it.resident_id() in replica.adapters for it in entry.adapters
         )
 
     def update_adapters(self, entry: ModelEntry, may_unload: MayUnload) -> bool:
@@ -78,11 +78,11 @@
 
         One adapter at a time, because replicas on a target compete for its free memory.
         """
-        replica = self.loaded[entry.resident()]
+        replica = self.loaded[entry.resident_id()]
         before = dict(replica.adapters)
-        missing = [item for item in entry.adapters if item.resident() not in replica.adapters]
+        missing = [item for item in entry.adapters if item.resident_id() not in replica.adapters]
         if missing and self._add_memory(replica, missing[0].memory_mb):
-            replica.adapters[missing[0].resident()] = missing[0].memory_mb
+            replica.adapters[missing[0].resident_id()] = missing[0].memory_mb
         self._unload_replaced(replica, entry, may_unload)
         if replica.adapters == before:
             return False
@@ -94,9 +94,11 @@
         free_mb = list(self.bin.free_mb)
         for resident, replica in self.loaded.items():
             entry = models.get(resident.rpartition("@")[0])
-            if entry is None or entry.resident() != resident:
+            if entry is None or entry.resident_id() != resident:
                 continue
-            missing = [item for item in entry.adapters if item.resident() not in replica.adapters]
+            missing = [
+                item for item in entry.adapters if item.resident_id() not in replica.adapters
+            ]
             for index in replica.accelerator_indexes:
                 free_mb[index] -= sum(item.memory_mb for item in missing)
         return free_mb
@@ -114,7 +116,7 @@
     def _unload_replaced(
         self, replica: LoadedReplica, entry: ModelEntry, may_unload: MayUnload
     ) -> None:
-        wanted = {item.resident(): item.name for item in entry.adapters}
+        wanted = {item.resident_id(): item.name for item in entry.adapters}
         replaced = {name for resident, name in wanted.items() if resident in replica.adapters}
         for resident in replica.adapters.keys() - wanted.keys():
             name = resident.rpartition("@")[0]
@@ -138,8 +140,8 @@
 
 
 def _loaded_replica(entry: ModelEntry, status: TargetStatus) -> LoadedReplica:
-    present = [item for item in entry.adapters if item.resident() in status.residents]
-    adapters = {item.resident(): item.memory_mb for item in present}
+    present = [item for item in entry.adapters if item.resident_id() in status.residents]
+    adapters = {item.resident_id(): item.memory_mb for item in present}
     estimate_mb = entry.memory_mb + sum(adapters.values())
-    memory_mb = status.held_mb.get(entry.resident(), estimate_mb)
+    memory_mb = status.held_mb.get(entry.resident_id(), estimate_mb)
     return LoadedReplica((), entry.accelerators, memory_mb, adapters)
--- a/packages/coordination/src/mimosaspur_coordination/orders.py
+++ b/packages/coordination/src/mimosaspur_coordination/orders.py
@@ -32,7 +32,7 @@
 
     def adapter_ids(self) -> list[str]:
         """Return the engine's ids of the adapters that the entry names."""
-        return [item.resident() for item in self.entry.adapters] if self.entry else []
+        return [item.resident_id() for item in self.entry.adapters] if self.entry else []
 
 
 @dataclass(slots=True, frozen=True)
@@ -57,7 +57,7 @@
     found = []
     for item, record in records:
         served = index.models.get(record.model)
-        for replica in record.on(target):
+        for replica in record.on_target(target):
             entry = served if served and served.version == replica.version else None
             found.append(Assignment(item, record, replica.version, replica.state, entry))
     return sorted(found, key=_priority_key)
@@ -65,7 +65,7 @@
 
 def is_complete(assignment: Assignment, report: EngineState) -> bool:
     """Return whether a replica's base and all its adapters are ready."""
-    if assignment.entry is None or not report.ready(assignment.base_id()):
+    if assignment.entry is None or not report.is_ready(assignment.base_id()):
         return False
     return all(
         _is_adapter_ready(report, name, assignment.base_id()) for name in assignment.adapter_ids()
@@ -82,12 +82,14 @@
         return PlannedLoad(
             assignment.base_id(), None, entry.memory_mb, entry.accelerators, headroom_mb
         )
-    if not report.ready(assignment.base_id()) or _is_adapter_loading(report, assignment.base_id()):
+    if not report.is_ready(assignment.base_id()) or _is_adapter_loading(
+        report, assignment.base_id()
+    ):
         return None
     for adapter in entry.adapters:
-        if report.resident(adapter.resident()) is None:
+        if report.resident(adapter.resident_id()) is None:
             return PlannedLoad(
-                adapter.resident(), assignment.base_id(), adapter.memory_mb, entry.accelerators
+                adapter.resident_id(), assignment.base_id(), adapter.memory_mb, entry.accelerators
             )
     return None
 
@@ -98,8 +100,10 @@
     for assignment in assignments:
         if assignment.entry is None or assignment.state is ReplicaState.LEAVING:
             continue
-        missing = [it for it in assignment.entry.adapters if not ledger.counts(it.resident())]
-        for index in ledger.accelerators(assignment.base_id()):
+        missing = [
+            it for it in assignment.entry.adapters if not ledger.is_counted(it.resident_id())
+        ]
+        for index in ledger.accelerators_of(assignment.base_id()):
             reserved[index] += sum(adapter.memory_mb for adapter in missing)
     return reserved
 
@@ -165,16 +169,16 @@
     if served is None:
         return False
     if served.model.name == holder.entry.name:
-        return not report.ready(served.resident())
-    if any(assignment.base_id() == served.model.resident() for assignment in assignments):
+        return not report.is_ready(served.resident_id())
+    if any(assignment.base_id() == served.model.resident_id() for assignment in assignments):
         # A replica that was READY before the bundle changed may still be loading its new adapters.
-        return not report.ready(served.resident())
+        return not report.is_ready(served.resident_id())
     return served.model.name not in elsewhere
 
 
 def _is_adapter_ready(report: EngineState, name: str, base: str) -> bool:
     found = report.resident(name)
-    return found is not None and found.base == base and report.ready(name)
+    return found is not None and found.base == base and report.is_ready(name)
 
 
 def _is_adapter_loading(report: EngineState, base: str) -> bool:
--- a/packages/coordination/src/mimosaspur_coordination/serviceregistration.py
+++ b/packages/coordination/src/mimosaspur_coordination/serviceregistration.py
@@ -30,14 +30,14 @@
         self.store = store
         self.mirror = mirror
         self.region = region
-        self.key = keys.carrier(region, service)
+        self.key = keys.service_registration(region, service)
         self.service = service
         self.target = target
         self.first_versions: dict[str, int] = {}
 
     def is_registered(self) -> bool:
         """Return whether the mirrored record names this target."""
-        return bool(self._record().on(self.target))
+        return bool(self._record().on_target(self.target))
 
     def register(self) -> bool:
         """Register this target as ready; return whether it is registered."""
@@ -54,7 +54,7 @@
     def deregister(self) -> bool:
         """Remove this target if another live one remains; return whether it is removed."""
         record = self._record()
-        if not record.on(self.target):
+        if not record.on_target(self.target):
             return True
         others = [replica for replica in record.ready() if replica.target != self.target]
         # A dead target may still be in the record: only the target itself removes its entry.
--- a/packages/daemon/src/mimosaspur_daemon/direct/storechanges.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/storechanges.py
@@ -1,8 +1,8 @@
 """Compute the changes of the store for entries that don't read it, and apply them there."""
 
 from mimosaspur_daemon.direct.entrystate import EntryState
-from mimosaspur_protocol.peermessages import StoreNews
-from mimosaspur_protocol.peermessages import TargetTold
+from mimosaspur_protocol.peermessages import StoreUpdate
+from mimosaspur_protocol.peermessages import TargetRegistration
 from mimosaspur_state.fleet import TargetRecord
 from mimosaspur_state.policy import Mechanism
 
@@ -18,10 +18,10 @@
 
     def __init__(self, state: EntryState) -> None:
         self.state = state
-        self.targets: dict[str, TargetTold] = {}
+        self.targets: dict[str, TargetRegistration] = {}
         # Number of the last change; `changed` and `removed` hold that change alone.
         self.change_number = 0
-        self.changed: list[TargetTold] = []
+        self.changed: list[TargetRegistration] = []
         self.removed: list[str] = []
 
     def update(self) -> None:
@@ -39,20 +39,20 @@
         on = self.state.uses(Mechanism.STORE_READER)
         return on and self.state.freshness.may_share((TARGETS, CONFIGURATION))
 
-    def changes_since(self, number: int) -> StoreNews:
+    def changes_since(self, number: int) -> StoreUpdate:
         """Return the changes since a change number, all targets if more than one is missing."""
         whole = number < self.change_number - 1
         current = number == self.change_number
-        return StoreNews(
+        return StoreUpdate(
             age_ms=self.state.freshness.age_ms((TARGETS, CONFIGURATION)),
             revision=self.state.fleet.revision,
-            whole=whole,
+            is_complete=whole,
             targets=list(self.targets.values()) if whole else [] if current else self.changed,
-            gone=[] if whole or current else self.removed,
+            removed=[] if whole or current else self.removed,
         )
 
 
-def apply_store_changes(state: EntryState, changes: StoreNews) -> None:
+def apply_store_changes(state: EntryState, changes: StoreUpdate) -> None:
     """Apply the coordinator's store data unless this entry has a newer revision."""
     if changes.revision < state.fleet.revision:
         return
@@ -60,14 +60,14 @@
     state.freshness.confirm_by_coordinator(age_ms=changes.age_ms)
     state.fleet.revision = changes.revision
     records = {message.identity: _to_record(message) for message in changes.targets}
-    if changes.whole:
+    if changes.is_complete:
         state.on_targets_changed(state.fleet.replace(records))
-    elif records or changes.gone:
-        state.on_targets_changed(state.fleet.update(records.values(), changes.gone))
+    elif records or changes.removed:
+        state.on_targets_changed(state.fleet.update(records.values(), changes.removed))
 
 
-def _to_message(record: TargetRecord) -> TargetTold:
-    return TargetTold(
+def _to_message(record: TargetRecord) -> TargetRegistration:
+    return TargetRegistration(
         record.identity,
         record.service,
         *record.address,
@@ -78,7 +78,7 @@
     )
 
 
-def _to_record(message: TargetTold) -> TargetRecord:
+def _to_record(message: TargetRegistration) -> TargetRecord:
     return TargetRecord(
         identity=message.identity,
         service=message.service,
--- a/packages/daemon/src/mimosaspur_daemon/direct/trackedengine.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/trackedengine.py
@@ -268,7 +268,7 @@
             self.sequence_ms = now_ms
         self.busy = report.busy
         residents = {model: set(adapters) for model, adapters in report.residents.items()}
-        for model, adapter in report.coming_adapters:
+        for model, adapter in report.pending_adapters:
             # They already occupy slots, and are loaded before a request can arrive.
             residents.setdefault(model, set()).add(adapter)
         self.add_unreported(residents)
