--- a/features/harness/frames_world.py
+++ b/features/harness/frames_world.py
@@ -46,7 +46,7 @@
     def __init__(self) -> None:
         self.begun: list[RunningAttempt] = []
 
-    def begin(self, attempt: RunningAttempt) -> None:
+    def start(self, attempt: RunningAttempt) -> None:
         """Begin an attempt."""
         self.begun.append(attempt)
 
--- a/features/steps/frames_steps.py
+++ b/features/steps/frames_steps.py
@@ -114,7 +114,7 @@
     assert parsed.target
     context.clock = HandClock()
     context.serving = FakeServing()
-    context.registry = AttemptRegistry(context.clock, keep_ms=KEEP_MS)
+    context.registry = AttemptRegistry(context.clock, retention_ms=KEEP_MS)
     context.server = TargetServer(
         parsed,
         parsed.target,
@@ -166,8 +166,8 @@
     """Make the answers of all that began."""
     for attempt in serving.begun:
         attempt.start(200, "text/plain")
-        attempt.add(ANSWER)
-        attempt.end()
+        attempt.append(ANSWER)
+        attempt.finish()
 
 
 def received(context: Context, number: int) -> list[Message]:
--- a/features/steps/scale_steps.py
+++ b/features/steps/scale_steps.py
@@ -16,7 +16,7 @@
 from mimosaspur_coordination.mirror import Mirror
 from mimosaspur_coordination.recordcache import RecordCache
 from mimosaspur_coordination.targetdirectory import TargetDirectory
-from mimosaspur_daemon.engine_situation import Situations
+from mimosaspur_daemon.engine_snapshot import SnapshotBuilder
 from mimosaspur_daemon.instancefollower import InstanceFollower
 from mimosaspur_state import keys
 from mimosaspur_state.bundle import BundleIndex
@@ -252,9 +252,9 @@
 def ask_situation(context: Context, times: int) -> None:
     bundle = {"name": "b", "models": [{"name": "m0", "version": "1", "memory_mb": 1}]}
     index = BundleIndex.build(1, bundle_from_value(bundle))
-    situations = Situations(context.mirror, region=REGION, target="t1")
+    situations = SnapshotBuilder(context.mirror, region=REGION, target="t1")
     for _ in range(times):
-        found = situations.of(EngineState("e", 1, (10,)), index)
+        found = situations.build(EngineState("e", 1, (10,)), index)
         assert len(found.assignments) == context.count
 
 
