--- a/packages/daemon/src/mimosaspur_daemon/attempts.py
+++ b/packages/daemon/src/mimosaspur_daemon/attempts.py
@@ -1,4 +1,4 @@
-"""Keep the answers of a target's attempts until their entries have them."""
+"""Buffer the answers of a target's attempts until the entries have received them."""
 
 import threading
 
@@ -17,14 +17,14 @@
 from mimosaspur_transport.wire import Wire
 
 DEFAULT_RETRY_MS = 1000
-# No caller waits longer than this for an answer to begin.
+# Longer than any caller waits for the first byte of an answer.
 DROPPED_ATTEMPT_TTL_MS = 900_000
 
 AttemptKey = tuple[str, int]
 
 
 class RunningAttempt:
-    """Hold one attempt's answer and send it over whichever connection is the newest."""
+    """Buffer one attempt's answer and send it over the newest connection of its entry."""
 
     def __init__(
         self,
@@ -49,34 +49,34 @@
         self.cancelled = threading.Event()
 
     def start(self, status: int, content_type: str, *, replayed: bool = False) -> None:
-        """Open the answer."""
+        """Start the answer with a status and a content type."""
         request_id, attempt = self.key()
         with self.lock:
             self.started = Started(request_id, attempt, status, content_type, replayed)
             self._send(self.started)
 
     def append(self, data: bytes) -> None:
-        """Add a piece; raise MimosaspurError when the answer grows over the limit."""
+        """Append data to the answer; raise MimosaspurError if it exceeds max_answer_bytes."""
         request_id, attempt = self.key()
         with self.lock:
             offset = len(self.buffer)
             if offset + len(data) > self.max_answer_bytes:
                 raise MimosaspurError(
                     ResultCode.ANSWER_CUT,
-                    f"The answer is over {self.max_answer_bytes} bytes (target.answer_bytes).",
+                    f"The answer exceeds {self.max_answer_bytes} bytes (target.answer_bytes).",
                     outcome=Outcome.UNKNOWN,
                 )
             self.buffer += data
             self._send(Chunk(request_id, attempt, offset, data))
 
     def finish(self) -> None:
-        """Close the answer as whole."""
+        """Mark the answer as complete."""
         request_id, attempt = self.key()
         with self.lock:
             self._set_final_message(End(request_id, attempt, len(self.buffer)))
 
     def fail(self, error: MimosaspurError) -> None:
-        """Close the attempt with an error; one that was not run is refused."""
+        """End the attempt with an error, as Refused if it has not run and as Failed otherwise."""
         request_id, attempt = self.key()
         with self.lock:
             if error.outcome is Outcome.NOT_RUN and self.started is None:
@@ -89,9 +89,9 @@
             self._set_final_message(final)
 
     def resume(self, wire: Wire, offset: int, *, connection_number: int) -> None:
-        """Send what follows an offset over a new connection, and all that comes after."""
+        """Resend the answer from an offset over a new connection and continue there."""
         with self.lock:
-            # The task of an older connection may come late, when this process was paused.
+            # A thread of an older connection may run late, after a pause of this process.
             if connection_number < self.connection_number:
                 return
             self.connection_number = connection_number
@@ -105,13 +105,13 @@
                 self._send(self.final_message)
 
     def detach(self, wire: Wire) -> None:
-        """Note that a connection is gone."""
+        """Stop sending over a closed connection."""
         with self.lock:
             if self.wire is wire:
                 self._detach()
 
     def key(self) -> AttemptKey:
-        """Return the request id and the attempt's number."""
+        """Return the request id and the attempt number."""
         return self.submit.work.request_id, self.submit.attempt
 
     def _set_final_message(self, final: "End | Failed | Refused") -> None:
@@ -135,7 +135,7 @@
 
 
 class AttemptRegistry:
-    """Find attempts by request id and number, and let go of those nobody asks for."""
+    """Index attempts by request id and number, and drop expired ones."""
 
     def __init__(self, clock: Clock, *, retention_ms: int) -> None:
         self.clock = clock
@@ -145,7 +145,7 @@
         self.dropped_at_ms: dict[AttemptKey, int] = {}
 
     def add(self, attempt: RunningAttempt) -> bool:
-        """Register an attempt; tell whether it is new."""
+        """Register an attempt and return whether it is new."""
         with self.lock:
             if attempt.key() in self.attempts:
                 return False
@@ -153,26 +153,26 @@
             return True
 
     def get(self, key: AttemptKey) -> RunningAttempt | None:
-        """Return an attempt that is known."""
+        """Return a registered attempt."""
         with self.lock:
             return self.attempts.get(key)
 
     def was_dropped(self, key: AttemptKey) -> bool:
-        """Tell whether an attempt was here that may have run and has been dropped."""
+        """Return whether an attempt that may have run has been dropped."""
         with self.lock:
             return key in self.dropped_at_ms
 
     def release(self, attempt: RunningAttempt) -> None:
-        """Let go of an ended attempt whose entry needs it no more."""
+        """Drop a finished attempt whose entry has the whole answer."""
         self._drop(attempt, self.clock.now_ms())
 
     def detach(self, wire: Wire) -> None:
-        """Note that a connection is gone."""
+        """Stop sending all attempts' answers over a closed connection."""
         for attempt in self._list_attempts():
             attempt.detach(wire)
 
     def sweep(self) -> None:
-        """Drop ended attempts, and cancel those whose entry stayed away, after keep_ms."""
+        """Drop finished attempts, and cancel detached ones, after retention_ms."""
         now_ms = self.clock.now_ms()
         for attempt in self._list_attempts():
             ended_ms = attempt.ended_at_ms
@@ -191,7 +191,7 @@
 
     def _expire_dropped(self, now_ms: int) -> None:
         with self.lock:
-            # The oldest come first.
+            # The dictionary is in the order of dropping.
             for key, dropped_ms in list(self.dropped_at_ms.items()):
                 if now_ms - dropped_ms <= DROPPED_ATTEMPT_TTL_MS:
                     return
--- a/packages/daemon/src/mimosaspur_daemon/draincontroller.py
+++ b/packages/daemon/src/mimosaspur_daemon/draincontroller.py
@@ -1,4 +1,4 @@
-"""Leave without cutting a request or making a model unreachable."""
+"""Drain a target without cutting a request or making a model unreachable."""
 
 import threading
 from collections.abc import Callable
@@ -18,10 +18,10 @@
 
 
 class DrainController:
-    """Carry out an operator's order to leave, and a graceful shutdown.
+    """Carry out an operator's drain order and a graceful shutdown.
 
-    On the order the planner moves the models away first; each is refused here from the moment
-    its replacement is ready. When nothing is left, or on SIGTERM, all new work is refused.
+    On a drain order the planner moves the models away first; each is refused here once its
+    replacement is ready. All new work is refused when no model is left, or on SIGTERM.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         self.server = server
         self.upstream = upstream
         self.registry = registry
-        # What it takes an entry to find its connection silent and to ask over a new one.
+        # The time in which an entry detects a silent connection and resumes over a new one.
         self.linger_ms = settings.peers.silent_ms + settings.peers.connect_ms
         self.wake = threading.Event()
         self.on_change: list[Callable[[], None]] = []
@@ -49,22 +49,22 @@
         self.shutting_down = False
 
     def is_drain_ordered(self) -> bool:
-        """Tell whether an operator has ordered this target to leave.
+        """Return whether an operator has ordered this target to drain.
 
-        A shutdown alone does not count: the process mostly comes back within the planner's
-        grace, and moving its models meanwhile would cost more than it earns.
+        A shutdown does not count: the process usually restarts within the planner's grace
+        period, in which moving its models would cost more than waiting.
         """
         return self.drain_ordered
 
     def run(self, stop: threading.Event) -> None:
-        """Watch for the order until told to stop."""
+        """Follow the drain order in the store until `stop` is set."""
         while not stop.is_set():
             self.wake.wait(POLL_INTERVAL_S)
             self.wake.clear()
             self._check_drain_order()
 
     def shut_down(self) -> None:
-        """Refuse new work at once and wait for what runs, for the grace at the longest."""
+        """Refuse new work and wait up to the grace period for running requests."""
         self.shutting_down = True
         self._drain()
         clock = self.serving.clock
@@ -73,22 +73,22 @@
         while not self._all_delivered() and clock.now_ms() < end_ms:
             pause.wait(DELIVERY_POLL_INTERVAL_S)
         if not self._all_delivered():
-            log(PART, "Stopped before all requests had ended; the grace is over.")
+            log(PART, "Shutting down with unfinished requests: target.stop_grace_ms is over.")
 
     def _all_delivered(self) -> bool:
-        """Tell whether all answers have ended and could be fetched even after a silence."""
-        # The queue doesn't count what was taken over from a predecessor; the registry does.
+        """Return whether all answers ended long enough ago to be fetched over a new connection."""
+        # The registry, unlike the queue, includes attempts adopted from a predecessor.
         with self.registry.lock:
             ended_ms = [attempt.ended_at_ms for attempt in self.registry.attempts.values()]
-        oldest_ms = self.serving.clock.now_ms() - self.linger_ms
-        answered = all(at_ms is not None and at_ms <= oldest_ms for at_ms in ended_ms)
+        latest_end_ms = self.serving.clock.now_ms() - self.linger_ms
+        answered = all(at_ms is not None and at_ms <= latest_end_ms for at_ms in ended_ms)
         return answered and self.serving.queue.idle()
 
     def _check_drain_order(self) -> None:
         ordered = self.mirror.get(keys.drain(self.name)) is not None
         if ordered != self.drain_ordered:
             self.drain_ordered = ordered
-            log(PART, "Ordered to leave." if ordered else "Ordered to stay.")
+            log(PART, "A drain was ordered." if ordered else "The drain order was withdrawn.")
             if not ordered:
                 self._undrain()
             self._notify_listeners()
@@ -105,7 +105,7 @@
             return
         self.serving.drain()
         self.server.announce_draining()
-        log(PART, "Takes no new work.")
+        log(PART, "Draining; new requests are refused.")
         self._notify_listeners()
 
     def _notify_listeners(self) -> None:
--- a/packages/daemon/src/mimosaspur_daemon/engine_orders.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_orders.py
@@ -1,4 +1,4 @@
-"""Send an engine its orders, each held in the memory ledger until a report settles it."""
+"""Send orders to an engine; the memory ledger reserves each until a report settles it."""
 
 import uuid
 from collections.abc import Sequence
@@ -25,14 +25,14 @@
 
 @dataclass(slots=True)
 class RetryBackoff:
-    """Say when an order that failed may be given again."""
+    """Store when a failed order may be retried."""
 
     delay_ms: int
     retry_at_ms: int
 
 
 class OrderSender:
-    """Give one engine its orders and read its reports; used by one task only."""
+    """Send orders to one engine and read its reports; used by one thread only."""
 
     __slots__ = (
         "clock",
@@ -60,35 +60,44 @@
         self.retries: dict[str, RetryBackoff] = {}
 
     def read_report(self) -> EngineState | None:
-        """Read the engine's report and settle the ledger by it; None when it didn't answer."""
+        """Read the engine's report and settle the ledger; return None if it is unavailable."""
         asked_at_ms = self.clock.now_ms()
         try:
             report = self.engine.state()
         except EngineUnavailable as error:
-            log(PART, "The engine did not report.", error=str(error))
+            log(
+                PART,
+                "Could not read the engine's state; retrying in the next round.",
+                error=str(error),
+            )
             return None
         for lost in self.ledger.settle(report, asked_at_ms=asked_at_ms):
-            log(PART, "Gave an order up as lost.", order=lost.order_id, resident=lost.resident)
+            log(
+                PART,
+                "Treating an order as lost: its longest delay has passed.",
+                order=lost.order_id,
+                resident=lost.resident,
+            )
         self._record_outcomes(report)
         return report
 
     def is_report_fresh(self) -> bool:
-        """Tell whether the last report is young enough to order by; a pause makes it old."""
+        """Return whether the last report is recent enough to base orders on."""
         return self.clock.now_ms() - self.ledger.asked_at_ms <= self.max_pause_ms
 
     def fence(self) -> None:
-        """Have the engine refuse every order with an older token."""
+        """Order the engine to refuse every order with an older token."""
         self._send(EngineOrder(uuid.uuid4().hex, self.token, OrderKind.FENCE))
 
-    def load(self, step: PlannedLoad, promised_mb: Sequence[int]) -> bool:
-        """Order a load that fits, or repeat one whose outcome is unknown; tell if it was sent."""
+    def load(self, step: PlannedLoad, reserved_mb: Sequence[int]) -> bool:
+        """Send a load that fits, or resend an unsettled order; return whether one was sent."""
         if self._resend_unsettled(step.resident):
             return True
         if self._is_backing_off(step.resident):
             return False
         order_id = uuid.uuid4().hex
-        chosen = self._reserve(order_id, step, promised_mb)
-        if chosen is None:
+        accelerators = self._reserve(order_id, step, reserved_mb)
+        if accelerators is None:
             return False
         order = EngineOrder(
             order_id,
@@ -98,13 +107,13 @@
             step.base,
             step.kind(),
             step.memory_mb,
-            chosen,
+            accelerators,
         )
         self._send(order)
         return True
 
     def unload(self, resident: str) -> bool:
-        """Order an unload, or repeat an order whose outcome is unknown; tell if it was sent."""
+        """Send an unload, or resend an unsettled order; return whether one was sent."""
         if self._resend_unsettled(resident):
             return True
         if self._is_backing_off(resident):
@@ -115,13 +124,13 @@
         return True
 
     def _reserve(
-        self, order_id: str, step: PlannedLoad, promised_mb: Sequence[int]
+        self, order_id: str, step: PlannedLoad, reserved_mb: Sequence[int]
     ) -> tuple[int, ...] | None:
         now_ms = self.clock.now_ms()
         if step.base:
-            place = self.ledger.accelerators(step.base)
+            accelerators = self.ledger.accelerators(step.base)
             return self.ledger.try_reserve_on(
-                order_id, step.resident, step.memory_mb, place, now_ms=now_ms
+                order_id, step.resident, step.memory_mb, accelerators, now_ms=now_ms
             )
         return self.ledger.try_reserve(
             order_id,
@@ -130,14 +139,14 @@
             step.accelerators,
             now_ms=now_ms,
             headroom_mb=step.headroom_mb,
-            keep_free_mb=promised_mb,
+            keep_free_mb=reserved_mb,
         )
 
     def _resend_unsettled(self, resident: str) -> bool:
         held = self.ledger.unsettled(resident)
         if held is None or held.order_id not in self.orders:
             return False
-        # The same order is never done twice, so repeating it settles its outcome.
+        # The engine executes an order id only once, so resending it is safe and settles it.
         self._send(self.orders[held.order_id])
         return True
 
@@ -155,49 +164,71 @@
             answered = True
             log(
                 PART,
-                "Gave the engine an order.",
+                "Sent an order to the engine.",
                 order=order.order_id,
                 kind=order.kind.value,
                 resident=order.id,
             )
         except EngineUnavailable as error:
-            log(PART, "An order's outcome is unknown.", order=order.order_id, error=str(error))
+            log(
+                PART,
+                "The engine did not answer an order; its outcome is unknown.",
+                order=order.order_id,
+                error=str(error),
+            )
         except OrderFenced as error:
             self.fenced_out = True
             self.ledger.refused(order.order_id)
-            log(PART, "A successor owns the engine; giving no more orders.", newest=error.newest)
+            log(
+                PART,
+                "A newer process owns the engine; this one sends no more orders.",
+                newest=error.newest,
+            )
         except OrderRefused as error:
             self.ledger.refused(order.order_id)
             self._back_off(order.id)
-            log(PART, "The engine refused an order.", order=order.order_id, error=str(error))
+            log(
+                PART,
+                "The engine refused an order; it may be retried after a delay.",
+                order=order.order_id,
+                error=str(error),
+            )
         self.ledger.sent(order.order_id, at_ms=self.clock.now_ms(), answered=answered)
 
     def _record_outcomes(self, report: EngineState) -> None:
         for order_id, order in list(self.orders.items()):
-            known = report.order(order_id)
+            order_state = report.order(order_id)
             if (
-                known
-                and known.state is not OrderOutcome.RUNNING
+                order_state
+                and order_state.state is not OrderOutcome.RUNNING
                 and order_id not in self.finished_orders
             ):
                 self.finished_orders.add(order_id)
-                self._record_outcome(order, known)
-            running = known is not None and known.state is OrderOutcome.RUNNING
+                self._record_outcome(order, order_state)
+            running = order_state is not None and order_state.state is OrderOutcome.RUNNING
             if order_id not in self.ledger.held and not running:
                 del self.orders[order_id]
                 self.finished_orders.discard(order_id)
 
-    def _record_outcome(self, order: EngineOrder, known: OrderState) -> None:
-        if known.state is OrderOutcome.FAILED:
-            self._record_failure(order, known.detail)
+    def _record_outcome(self, order: EngineOrder, order_state: OrderState) -> None:
+        if order_state.state is OrderOutcome.FAILED:
+            self._record_failure(order, order_state.detail)
         else:
             self.retries.pop(order.id, None)
 
     def _record_failure(self, order: EngineOrder, detail: str) -> None:
-        log(PART, "An order failed.", order=order.order_id, resident=order.id, detail=detail)
+        log(
+            PART,
+            "The engine failed to execute an order; it may be retried after a delay.",
+            order=order.order_id,
+            resident=order.id,
+            detail=detail,
+        )
         self._back_off(order.id)
 
     def _back_off(self, resident: str) -> None:
-        last = self.retries.get(resident)
-        pause_ms = min(2 * last.delay_ms, MAX_RETRY_DELAY_MS) if last else MIN_RETRY_DELAY_MS
-        self.retries[resident] = RetryBackoff(pause_ms, self.clock.now_ms() + pause_ms)
+        previous = self.retries.get(resident)
+        delay_ms = (
+            min(2 * previous.delay_ms, MAX_RETRY_DELAY_MS) if previous else MIN_RETRY_DELAY_MS
+        )
+        self.retries[resident] = RetryBackoff(delay_ms, self.clock.now_ms() + delay_ms)
--- a/packages/daemon/src/mimosaspur_daemon/engine_ownership.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_ownership.py
@@ -1,4 +1,4 @@
-"""Hold the right to give an engine orders: a fencing token, and the hold after a start."""
+"""Guard an engine against two senders of orders: a fencing token and a delay after a start."""
 
 from mimosaspur_coordination import fencing
 from mimosaspur_daemon.engine_orders import OrderSender
@@ -14,7 +14,7 @@
 
 
 class EngineOwnership:
-    """Tell whether this process may order now; used by the keeper's task only."""
+    """Decide whether this process may send orders; used only by the reconciler's thread."""
 
     def __init__(
         self,
@@ -37,15 +37,15 @@
         self.must_verify_token = False
 
     def start(self) -> None:
-        """Begin the hold after a start."""
+        """Start the delay in which a predecessor's late orders may still arrive."""
         self.started_ms = self.clock.now_ms()
 
     def on_pause(self) -> None:
-        """Remember that the process paused: a successor may have begun meanwhile."""
+        """Require a check of the token: a successor may have started during a pause."""
         self.must_verify_token = True
 
     def ensure_owner(self, report: EngineState) -> bool:
-        """Tell whether this process holds the newest token it knows of, taking one if it can."""
+        """Return whether this process holds the newest known token, acquiring one if needed."""
         if self.sender.token == 0:
             self._acquire_token()
         if self.sender.token and report.fencing > self.sender.token:
@@ -53,7 +53,7 @@
         return self.sender.token > 0 and not self.sender.fenced_out
 
     def is_predecessor_fenced(self, report: EngineState) -> bool:
-        """Tell whether no order of a predecessor can arrive any more, by this report."""
+        """Return whether, by this report, no predecessor's order can take effect any more."""
         if self.settings.checks_fencing:
             return self._is_fence_reported(report)
         return self._is_order_delay_over() and self._verify_token()
@@ -61,12 +61,12 @@
     def _is_fence_reported(self, report: EngineState) -> bool:
         if report.fencing >= self.sender.token:
             return True
-        # The report was made before the fence: the next one counts what came until then.
+        # This report predates the fence; only the next one shows all orders that came before it.
         self.sender.fence()
         return False
 
     def _is_order_delay_over(self) -> bool:
-        # An engine that ignores tokens obeys late orders, so only waiting them out is safe.
+        # An engine that ignores tokens executes late orders, so their longest delay must pass.
         waited_ms = self.sender.ledger.asked_at_ms - self.started_ms
         return waited_ms >= self.settings.longest_order_delay_ms
 
@@ -90,8 +90,12 @@
             self.sender.token = fencing.acquire_token(self.store, self.target, self.incarnation)
         except StoreUnavailable as error:
             self.next_acquire_at_ms = self.clock.now_ms() + TOKEN_RETRY_DELAY_MS
-            log(PART, "No fencing token yet, so no orders.", error=str(error))
+            log(
+                PART,
+                "Could not acquire a fencing token; no orders are sent, retrying.",
+                error=str(error),
+            )
 
     def _relinquish(self, newest: int) -> None:
         self.sender.fenced_out = True
-        log(PART, "A successor owns the engine; giving no more orders.", newest=newest)
+        log(PART, "A newer process owns the engine; this one sends no more orders.", newest=newest)
--- a/packages/daemon/src/mimosaspur_daemon/engine_reconciler.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_reconciler.py
@@ -1,4 +1,4 @@
-"""Keep the engine's memory: the one task that gives a target's engine its orders."""
+"""Reconcile an engine's memory with the placement records."""
 
 import threading
 import uuid
@@ -38,9 +38,10 @@
 
 
 class EngineReconciler:
-    """Bring the engine to what placement asks of it; public reads are safe from any thread.
+    """Load and unload models and adapters as placement records require.
 
-    Start `run` only once the target's listen address is bound: from then on no predecessor runs.
+    Call `run` only after the target's listen address is bound, which rules out a running
+    predecessor. The methods that return state may be called from any thread.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
         incarnation: str = "",
     ) -> None:
         if settings.target is None:
-            raise ValueError("an engine keeper needs the settings section target")
+            raise ValueError("the engine reconciler needs the settings section target")
         self.target: TargetSettings = settings.target
         self.name = settings.instance.name
         self.region = settings.instance.region
@@ -93,39 +94,43 @@
         self.mirror.listeners.append(lambda item: self.wake.set())
 
     def ready_residents(self) -> tuple[str, ...]:
-        """Return the ids of models and adapters that may be used now, sorted."""
+        """Return the sorted ids of the models and adapters that can be used now."""
         return self._ready_residents
 
     def free_mb(self) -> tuple[int, ...]:
-        """Return the memory left on each accelerator; empty before the first report."""
+        """Return the free memory of each accelerator; empty without a recent report."""
         return self._free_mb
 
     def capacity_mb(self) -> tuple[int, ...]:
-        """Return the memory of each accelerator; empty before the first report."""
+        """Return the memory of each accelerator; empty without a recent report."""
         return self._capacity_mb
 
     def layout(self) -> dict[str, tuple[int, ...]]:
-        """Return the accelerators of each model that takes memory; don't change it."""
+        """Return the accelerators of each model that holds memory; read-only."""
         return self._layout
 
     def held_mb(self) -> dict[str, int]:
-        """Return each model's memory with its adapters on each accelerator; don't change it."""
+        """Return the memory per accelerator of each model with its adapters; read-only."""
         return self._held_mb
 
     def run(self, stop: threading.Event) -> None:
-        """Go round every poll_ms, or sooner when placement changes, until told to stop."""
+        """Reconcile every poll_ms, or sooner when placement changes, until `stop` is set."""
         self.ownership.start()
         while not stop.is_set():
             try:
                 self.reconcile()
             except (MimosaspurError, msgspec.ValidationError) as error:
-                # The task must outlive one object that it can't read or write.
-                log(PART, "A round ended early.", error=str(error))
+                # One unreadable or unwritable object must not end this thread.
+                log(
+                    PART,
+                    "Reconciling the engine failed; retrying in the next round.",
+                    error=str(error),
+                )
             self.wake.wait(self.target.poll_ms / MS_PER_SECOND)
             self.wake.clear()
 
     def reconcile(self) -> None:
-        """Read the engine's report, then settle records and give the orders that fit."""
+        """Read the engine's report, update the records and send the orders that are due."""
         if self.clock.now_ms() - self._reconciled_at_ms > self.max_pause_ms:
             self.ownership.on_pause()
         report = self.sender.read_report()
@@ -136,7 +141,7 @@
         else:
             self.metrics.count("engine.unanswered")
             if not self.sender.is_report_fresh():
-                # The status says so by this: the planner counts on no engine that is silent.
+                # An empty capacity in the status keeps the planner from using a silent engine.
                 self._free_mb = self._capacity_mb = ()
                 self._layout, self._held_mb = {}, {}
         self._reconciled_at_ms = self.clock.now_ms()
@@ -144,21 +149,21 @@
     def _apply(self, report: EngineState) -> None:
         if not self.ownership.ensure_owner(report):
             return
-        # A predecessor is fenced off even before there is a bundle to act by.
-        cleared = self.ownership.is_predecessor_fenced(report)
-        situation = self._build_snapshot(report)
-        if situation is None:
+        # A predecessor is fenced off even before a bundle is available.
+        may_order = self.ownership.is_predecessor_fenced(report)
+        snapshot = self._build_snapshot(report)
+        if snapshot is None:
             return
         self.records.store_available = True
-        # Loads come first: they need no store, and a store that is silent takes its time.
-        if cleared:
-            self._reopen_residents(situation)
-            self._load_missing(situation)
-        self._mark_lost(situation)
-        if cleared:
-            self._mark_ready(situation)
-            self._remove_replaced(situation)
-            self._unload_unwanted(situation)
+        # Loads come first: they need no store, and calls to a silent store block until a timeout.
+        if may_order:
+            self._reopen_residents(snapshot)
+            self._load_missing(snapshot)
+        self._mark_lost(snapshot)
+        if may_order:
+            self._mark_ready(snapshot)
+            self._remove_replaced(snapshot)
+            self._unload_unwanted(snapshot)
 
     def _build_snapshot(self, report: EngineState) -> EngineSnapshot | None:
         index = self.current_bundle()
@@ -166,79 +171,88 @@
             return None
         return self.snapshots.build(report, index)
 
-    def _mark_lost(self, situation: EngineSnapshot) -> None:
-        for held in situation.assignments:
-            lost = held.state is not ReplicaState.LOAD
-            if not lost or situation.report.ready(held.base_id()):
+    def _mark_lost(self, snapshot: EngineSnapshot) -> None:
+        for assignment in snapshot.assignments:
+            lost = assignment.state is not ReplicaState.LOAD
+            if not lost or snapshot.report.ready(assignment.base_id()):
                 continue
-            log(PART, "The engine lost a replica.", resident=held.base_id())
-            self.records.update(replicas.mark_lost, held)
+            log(
+                PART,
+                "The engine no longer has a replica ready; marking it to be loaded again.",
+                resident=assignment.base_id(),
+            )
+            self.records.update(replicas.mark_lost, assignment)
 
-    def _mark_ready(self, situation: EngineSnapshot) -> None:
-        for held in situation.assignments:
-            if held.state is not ReplicaState.LOAD or not orders.is_complete(
-                held, situation.report
+    def _mark_ready(self, snapshot: EngineSnapshot) -> None:
+        for assignment in snapshot.assignments:
+            if assignment.state is not ReplicaState.LOAD or not orders.is_complete(
+                assignment, snapshot.report
             ):
                 continue
             if any(
-                self._is_order_unsettled(name) for name in (held.base_id(), *held.adapter_ids())
+                self._is_order_unsettled(name)
+                for name in (assignment.base_id(), *assignment.adapter_ids())
             ):
                 continue
-            self.records.update(replicas.mark_ready, held)
+            self.records.update(replicas.mark_ready, assignment)
 
-    def _remove_replaced(self, situation: EngineSnapshot) -> None:
-        for held in situation.assignments:
-            if held.state is not ReplicaState.LEAVING or not self.records.store_available:
+    def _remove_replaced(self, snapshot: EngineSnapshot) -> None:
+        for assignment in snapshot.assignments:
+            if assignment.state is not ReplicaState.LEAVING or not self.records.store_available:
                 continue
-            if not replicas.is_replaced(held.record, self.name, held.version, situation.index):
+            if not replicas.is_replaced(
+                assignment.record, self.name, assignment.version, snapshot.index
+            ):
                 continue
-            self._remove_replica(held, situation)
+            self._remove_replica(assignment, snapshot)
 
-    def _remove_replica(self, held: Assignment, situation: EngineSnapshot) -> None:
-        parts = orders.residents_of(held, situation.report)
-        for name in parts:
+    def _remove_replica(self, assignment: Assignment, snapshot: EngineSnapshot) -> None:
+        residents = orders.residents_of(assignment, snapshot.report)
+        for name in residents:
             self._close(name)
-        left = self.records.update(partial(replicas.remove_replaced, index=situation.index), held)
-        if left:
-            log(PART, "A replica left.", resident=held.base_id())
+        removed = self.records.update(
+            partial(replicas.remove_replaced, index=snapshot.index), assignment
+        )
+        if removed:
+            log(PART, "Removed a replaced replica from its record.", resident=assignment.base_id())
             self.wake.set()
             return
-        # It stays the one that callers need until a replacement is ready.
-        for name in parts:
+        # Callers need this replica until a replacement is ready.
+        for name in residents:
             self._open(name)
 
-    def _reopen_residents(self, situation: EngineSnapshot) -> None:
-        leaving = {item.id for item in situation.unwanted}
+    def _reopen_residents(self, snapshot: EngineSnapshot) -> None:
+        leaving = {item.id for item in snapshot.unwanted}
         leaving.update(
-            item.id for item in situation.report.residents if item.state is ResidentState.UNLOADING
+            item.id for item in snapshot.report.residents if item.state is ResidentState.UNLOADING
         )
-        for held in situation.assignments:
-            if held.state is ReplicaState.LEAVING:
-                leaving.update(orders.residents_of(held, situation.report))
+        for assignment in snapshot.assignments:
+            if assignment.state is ReplicaState.LEAVING:
+                leaving.update(orders.residents_of(assignment, snapshot.report))
         for name in self.closed_residents - leaving:
             if not self._is_order_unsettled(name):
                 self._open(name)
 
-    def _load_missing(self, situation: EngineSnapshot) -> None:
-        # No store was asked since the report, so only a pause can have made it old.
+    def _load_missing(self, snapshot: EngineSnapshot) -> None:
+        # No store call was made since the report, so only a pause can have made it stale.
         if not self.sender.is_report_fresh():
             self.ownership.on_pause()
-        for held in situation.assignments:
-            step = orders.next_load(held, situation.report)
+        for assignment in snapshot.assignments:
+            step = orders.next_load(assignment, snapshot.report)
             if step is None or not self.sender.is_report_fresh():
                 continue
-            promised_mb = orders.reserved_mb(situation.assignments, self.ledger)
-            if not self.sender.load(step, promised_mb):
+            reserved_mb = orders.reserved_mb(snapshot.assignments, self.ledger)
+            if not self.sender.load(step, reserved_mb):
                 self.metrics.count("engine.load_waits")
 
-    def _unload_unwanted(self, situation: EngineSnapshot) -> None:
-        bases = {item.base for item in situation.report.residents}
-        known, self._previously_unwanted = self._previously_unwanted, {
-            item.id for item in situation.unwanted
+    def _unload_unwanted(self, snapshot: EngineSnapshot) -> None:
+        bases = {item.base for item in snapshot.report.residents}
+        previous, self._previously_unwanted = self._previously_unwanted, {
+            item.id for item in snapshot.unwanted
         }
-        # Entries must hear first of what replaces it: what is new here waits for a round.
-        for item in (item for item in situation.unwanted if item.id in known):
-            if item.id not in self.closed_residents and self.records.may_unload(item, situation):
+        # Entries must be notified of the replacement first, so wait for one round.
+        for item in (item for item in snapshot.unwanted if item.id in previous):
+            if item.id not in self.closed_residents and self.records.may_unload(item, snapshot):
                 self._close(item.id)
             if (
                 item.id not in self.closed_residents
@@ -246,7 +260,7 @@
                 or self.serving.in_use(item.id)
             ):
                 continue
-            if self.records.may_unload(item, situation) and self.sender.is_report_fresh():
+            if self.records.may_unload(item, snapshot) and self.sender.is_report_fresh():
                 self.sender.unload(item.id)
 
     def _is_order_unsettled(self, name: str) -> bool:
--- a/packages/daemon/src/mimosaspur_daemon/engine_records.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_records.py
@@ -1,4 +1,4 @@
-"""Change and ask the placement records themselves, for one round of the engine keeper."""
+"""Read and update placement records in the store for the engine reconciler."""
 
 from collections.abc import Callable
 
@@ -19,7 +19,7 @@
 
 
 class EngineRecords:
-    """Reach one target's records; after a call without an answer it makes none in this round."""
+    """Update one target's records; after a failed call, skip the store until the next round."""
 
     __slots__ = ("store_available", "mirror", "region", "store", "target")
 
@@ -30,37 +30,49 @@
         self.target = target
         self.store_available = True
 
-    def update(self, change: Callable[..., object], held: Assignment) -> bool:
-        """Make a change in the store; an unsettled one is taken up again in the next round."""
-        learn = self.mirror.apply_update
+    def update(self, change: Callable[..., object], assignment: Assignment) -> bool:
+        """Apply a change to a record; return whether it succeeded, else the next round retries."""
+        on_update = self.mirror.apply_update
         if not self.store_available:
             return False
         try:
-            return bool(change(self.store, held.item, self.target, held.version, on_update=learn))
+            return bool(
+                change(
+                    self.store,
+                    assignment.item,
+                    self.target,
+                    assignment.version,
+                    on_update=on_update,
+                )
+            )
         except StoreUnavailable as error:
-            log(PART, "The object API did not settle a change.", error=str(error))
+            log(
+                PART,
+                "Could not update a placement record; retrying in the next round.",
+                error=str(error),
+            )
             self.store_available = False
             return False
 
-    def may_unload(self, item: Resident, situation: EngineSnapshot) -> bool:
-        """Tell whether the record itself, not the mirror's copy, lets a resident go."""
+    def may_unload(self, item: Resident, snapshot: EngineSnapshot) -> bool:
+        """Return whether the stored record, not the mirror's copy, allows unloading a resident."""
         base = item.base or item.id
-        if item.base and any(held.base_id() == base for held in situation.assignments):
-            return not is_replacement_pending(item, situation, self.store, self.region)
+        if item.base and any(assignment.base_id() == base for assignment in snapshot.assignments):
+            return not is_replacement_pending(item, snapshot, self.store, self.region)
         if not self.store_available:
             return False
         model, _, version = base.rpartition("@")
         try:
-            found = self.store.get(keys.placement(self.region, model))
+            stored = self.store.get(keys.placement(self.region, model))
         except StoreUnavailable:
             self.store_available = False
             return False
-        record = placement_from_value(found.value) if found else PlacementRecord(model, 0)
-        if found:
-            self.mirror.apply_update(found)
+        record = placement_from_value(stored.value) if stored else PlacementRecord(model, 0)
+        if stored:
+            self.mirror.apply_update(stored)
         if any(replica.version == version for replica in record.on(self.target)):
             return False
-        entry = situation.index.models.get(model)
+        entry = snapshot.index.models.get(model)
         if entry is None or entry.version != version:
             return True
-        return replicas.is_replaced(record, self.target, version, situation.index)
+        return replicas.is_replaced(record, self.target, version, snapshot.index)
--- a/packages/daemon/src/mimosaspur_daemon/engine_snapshot.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_snapshot.py
@@ -1,4 +1,4 @@
-"""Gather what one round of the engine keeper decides by."""
+"""Combine an engine's report with the records of its target for one reconcile round."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServingHooks:
-    """Tell the requests on a resident, refuse new ones for it, and allow them again."""
+    """Count the requests on a resident, refuse new ones for it, and accept them again."""
 
     in_use: Callable[[str], int]
     close: Callable[[str], None]
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineSnapshot:
-    """Hold what one round decides by."""
+    """Hold the input of one reconcile round."""
 
     report: EngineState
     index: BundleIndex
@@ -41,9 +41,9 @@
 
 
 class SnapshotBuilder:
-    """Make a round's situation; what did not change since the last round is not worked out anew.
+    """Build a round's snapshot, reusing the parts whose input has not changed.
 
-    A round comes several times a second, and a region's records are many and change seldom.
+    Rounds run several times a second, while a region's many records change rarely.
     """
 
     __slots__ = (
@@ -68,37 +68,37 @@
         self.last_snapshot: EngineSnapshot | None = None
 
     def build(self, report: EngineState, index: BundleIndex) -> EngineSnapshot:
-        """Compare an engine's report with what the records ask of its target."""
-        asked = self.cache.readable(keys.placements(self.region))
-        if index is not self.index or asked is not self.stored_records:
+        """Compare an engine's report with the assignments in the records."""
+        stored_records = self.cache.readable(keys.placements(self.region))
+        if index is not self.index or stored_records is not self.stored_records:
             self.index = index
-            self.stored_records = asked
-            self.records = [record for _, record in asked]
+            self.stored_records = stored_records
+            self.records = [record for _, record in stored_records]
             self.ready_models = orders.ready_models(self.records, index)
             self.last_snapshot = None
         if self.last_snapshot is None or self.last_snapshot.report != report:
-            assignments = orders.assignments_on(asked, self.target, index)
+            assignments = orders.assignments_on(stored_records, self.target, index)
             unwanted = orders.unwanted_residents(assignments, report, index, self.ready_models)
             self.last_snapshot = EngineSnapshot(report, index, self.records, assignments, unwanted)
         return self.last_snapshot
 
 
 def is_replacement_pending(
-    adapter: Resident, situation: EngineSnapshot, store: ObjectStore, region: str
+    adapter: Resident, snapshot: EngineSnapshot, store: ObjectStore, region: str
 ) -> bool:
-    """Tell whether a model that takes an adapter over is not known to have it ready yet."""
-    served = situation.index.served.get(adapter.id.rpartition("@")[0])
+    """Return whether another model takes over an adapter but is not yet known to serve it."""
+    served = snapshot.index.served.get(adapter.id.rpartition("@")[0])
     if served is None or (adapter.base or "").startswith(f"{served.model.name}@"):
         return False
-    if any(held.base_id() == served.model.resident() for held in situation.assignments):
-        # Decided by our engine's own report already.
+    if any(assignment.base_id() == served.model.resident() for assignment in snapshot.assignments):
+        # The report of this engine already covers that model.
         return False
-    found = [record for record in situation.records if record.model == served.model.name]
-    # A replica stays READY while it loads what a new bundle adds, so its target must say it.
-    targets = {replica.target for record in found for replica in record.ready()}
+    records = [record for record in snapshot.records if record.model == served.model.name]
+    # A replica stays READY while it loads new adapters, so check its target's status.
+    targets = {replica.target for record in records for replica in record.ready()}
     try:
         statuses = [store.get(keys.status(region, target)) for target in sorted(targets)]
     except StoreUnavailable:
         return True
-    told = [TargetStatus.from_value(item.value).residents for item in statuses if item]
-    return not any(served.resident() in residents for residents in told)
+    reported = [TargetStatus.from_value(item.value).residents for item in statuses if item]
+    return not any(served.resident() in residents for residents in reported)
--- a/packages/daemon/src/mimosaspur_daemon/reports.py
+++ b/packages/daemon/src/mimosaspur_daemon/reports.py
@@ -1,4 +1,4 @@
-"""Write an instance's reports to the planner."""
+"""Write an instance's demand and status records for the planner."""
 
 import threading
 from collections.abc import Callable
@@ -14,12 +14,11 @@
 from mimosaspur_state.records import TargetStatus
 from mimosaspur_state.settings import Settings
 
-# How often a target looks at whether its status has changed.
 STATUS_CHECK_INTERVAL_S = 0.5
 
 
 class DemandReporter:
-    """Write an entry's demand whenever it changed."""
+    """Write an entry's demand whenever it changes."""
 
     def __init__(self, store: ObjectStore, settings: Settings, demand: DemandCounter) -> None:
         self.settings = settings
@@ -28,24 +27,24 @@
         self.record = SingleWriterRecord(store, key)
 
     def run(self, stop: threading.Event) -> None:
-        """Report until told to stop."""
+        """Report until `stop` is set."""
         interval_ms = self.settings.planner.demand_report_ms
         window_ms = self.settings.planner.demand_window_ms
-        turn_every = max(1, window_ms // BUCKET_COUNT // interval_ms)
+        beats_per_rotation = max(1, window_ms // BUCKET_COUNT // interval_ms)
         beat = 0
-        told = None
+        last_written = None
         while not stop.wait(interval_ms / 1000):
             beat += 1
-            if beat % turn_every == 0:
+            if beat % beats_per_rotation == 0:
                 self.demand.rotate()
             models = self.demand.totals()
             report = DemandReport(self.settings.instance.name, window_ms, models, beat)
-            if models != told and self.record.try_write(report):
-                told = models
+            if models != last_written and self.record.try_write(report):
+                last_written = models
 
 
 class StatusReporter:
-    """Write a target's status on change and as a sign of life."""
+    """Write a target's status on changes and as a heartbeat."""
 
     def __init__(
         self, store: ObjectStore, settings: Settings, build_status: Callable[[int], TargetStatus]
@@ -58,30 +57,30 @@
         self.wake = threading.Event()
 
     def on_status_change(self) -> None:
-        """Have the status written soon."""
+        """Trigger a check of the status."""
         self.wake.set()
 
     def run(self, stop: threading.Event) -> None:
-        """Report until told to stop."""
+        """Report until `stop` is set."""
         beat = 0
-        told: TargetStatus | None = None
+        last_written: TargetStatus | None = None
         quiet_s = 0.0
         while not stop.is_set():
             self.wake.wait(STATUS_CHECK_INTERVAL_S)
             self.wake.clear()
             quiet_s += STATUS_CHECK_INTERVAL_S
             if (
-                told == _without_transient_fields(self.build_status(0))
+                last_written == _without_transient_fields(self.build_status(0))
                 and quiet_s < self.interval_s
             ):
                 continue
             beat += 1
             status = self.build_status(beat)
             if self.record.try_write(status):
-                told = _without_transient_fields(status)
+                last_written = _without_transient_fields(status)
                 quiet_s = 0.0
 
 
 def _without_transient_fields(status: TargetStatus) -> TargetStatus:
-    """Leave out what changes with every request: it is not worth a write of its own."""
+    """Return the status without the fields that change with every request."""
     return msgspec.structs.replace(status, active=0, queued=0, service_time_ms=0, beat=0)
--- a/packages/daemon/src/mimosaspur_daemon/runners.py
+++ b/packages/daemon/src/mimosaspur_daemon/runners.py
@@ -1,4 +1,4 @@
-"""Run admitted requests at an engine or a plain service."""
+"""Run admitted requests on an engine or a plain service."""
 
 import threading
 from collections.abc import Iterator
@@ -24,14 +24,14 @@
 
 
 class EngineRunner:
-    """Run chat requests; the engine always streams, so that silence shows at once."""
+    """Run chat requests; the engine always streams, so that a stall is detected early."""
 
     def __init__(self, chat: EngineChat, clock: Clock) -> None:
         self.chat = chat
         self.clock = clock
 
     def run(self, attempt: RunningAttempt, deadline: Deadline) -> None:
-        """Run a request and write its answer."""
+        """Run a request and send its answer."""
         submit = attempt.submit
         events = self.chat.stream(submit.work, run_id(attempt), submit.resident)
         try:
@@ -41,29 +41,29 @@
             attempt.append(error.body)
 
     def adopt(self, attempt: RunningAttempt) -> None:
-        """Fetch from the engine what a predecessor of this process began."""
+        """Fetch the answer of a run that a predecessor of this process started."""
         deadline = Deadline(self.clock, attempt.submit.deadline_ms)
         self._write_answer(attempt, self.chat.adopt(run_id(attempt)), deadline)
 
     def cancel(self, attempt: RunningAttempt) -> None:
-        """End the work at the engine without waiting for it."""
-        # Who cancels also reads an entry's connection, and the engine's may be silent.
+        """Cancel the run at the engine without waiting for the result."""
+        # The calling thread also reads an entry's connection and must not block on the engine.
         threading.Thread(target=self.chat.cancel, args=(run_id(attempt),), daemon=True).start()
 
     def _write_answer(
         self, attempt: RunningAttempt, events: Iterator[EngineEvent], deadline: Deadline
     ) -> None:
-        watched = self._check_each_event(attempt, events, deadline)
+        checked = self._check_each_event(attempt, events, deadline)
         name = attempt.submit.work.name
         if attempt.submit.work.stream:
-            _write_stream(attempt, watched, name)
+            _write_stream(attempt, checked, name)
         else:
-            _write_whole(attempt, watched, name)
+            _write_whole(attempt, checked, name)
 
     def _check_each_event(
         self, attempt: RunningAttempt, events: Iterator[EngineEvent], deadline: Deadline
     ) -> Iterator[EngineEvent]:
-        # A stream that has begun is never cut at the deadline; a whole answer is useless then.
+        # A stream that has started is not cut at its deadline; a whole answer is useless after it.
         bounded = not attempt.submit.work.stream
         for event in events:
             if attempt.cancelled.is_set():
@@ -78,28 +78,28 @@
 
 
 class ServiceRunner:
-    """Run calls to the plain service beside this process."""
+    """Run calls to a plain service."""
 
     def __init__(self, service: PlainService) -> None:
         self.service = service
 
     def run(self, attempt: RunningAttempt, deadline: Deadline) -> None:
-        """Run a call and write its answer."""
+        """Run a call and send its answer."""
         work = attempt.submit.work
         answer = self.service.call(work, work.request_id, deadline.left_ms())
         attempt.start(answer.status, answer.content_type)
         attempt.append(answer.body)
 
     def adopt(self, attempt: RunningAttempt) -> None:
-        """Say that nobody can tell whether the call ran."""
+        """Raise MimosaspurError: it is unknown whether the call ran."""
         raise MimosaspurError(
             ResultCode.OUTCOME_UNKNOWN,
-            "The process beside the service was replaced.",
+            "The target process restarted during the call.",
             outcome=Outcome.UNKNOWN,
         )
 
     def cancel(self, attempt: RunningAttempt) -> None:
-        """Do nothing: a plain service can't take a call back."""
+        """Do nothing: a plain service cannot cancel a call."""
 
 
 def _write_stream(attempt: RunningAttempt, events: Iterator[EngineEvent], name: str) -> None:
--- a/packages/daemon/src/mimosaspur_daemon/serving.py
+++ b/packages/daemon/src/mimosaspur_daemon/serving.py
@@ -1,4 +1,4 @@
-"""Run requests at a target: admit, claim, run, answer."""
+"""Run requests at a target: admit, claim, run and answer them."""
 
 import threading
 from collections import Counter
@@ -27,23 +27,23 @@
 
 
 class Runner(Protocol):
-    """Run one admitted request at what stands behind the target."""
+    """Run one admitted request on the target's upstream."""
 
     def run(self, attempt: RunningAttempt, deadline: Deadline) -> None:
-        """Run it and write its answer; raise MimosaspurError with what is known of it."""
+        """Run it and send its answer; raise MimosaspurError with the known outcome."""
         ...
 
     def adopt(self, attempt: RunningAttempt) -> None:
-        """Go on with what a predecessor of this process began; raise MimosaspurError."""
+        """Continue a run that a predecessor of this process started; raise MimosaspurError."""
         ...
 
     def cancel(self, attempt: RunningAttempt) -> None:
-        """End the work if it can be ended."""
+        """Cancel the run if the upstream supports it."""
         ...
 
 
 class Serving:
-    """Decide about every attempt that reaches this target; one task for each."""
+    """Admit and run the attempts that reach this target, in one thread each."""
 
     def __init__(
         self,
@@ -69,26 +69,26 @@
         self.in_flight: Counter[str] = Counter()
 
     def start(self, attempt: RunningAttempt) -> None:
-        """Serve a new attempt in a task of its own."""
+        """Serve a new attempt in its own thread."""
         threading.Thread(target=self._serve, args=(attempt,), daemon=True).start()
 
     def adopt(self, attempt: RunningAttempt) -> None:
-        """Go on with a predecessor's attempt in a task of its own."""
+        """Continue a predecessor's attempt in its own thread."""
         threading.Thread(target=self._adopt, args=(attempt,), daemon=True).start()
 
     def cancel(self, attempt: RunningAttempt) -> None:
-        """End an attempt that nobody waits for."""
+        """Cancel an attempt."""
         attempt.cancelled.set()
         self.queue.recheck_waiting()
         self.runner.cancel(attempt)
 
     def drain(self) -> None:
-        """Take nothing new from now on."""
+        """Refuse new requests."""
         self.draining = True
         self.queue.close()
 
     def undrain(self) -> None:
-        """Take new work again."""
+        """Accept new requests again."""
         self.draining = False
         self.queue.open()
 
@@ -98,17 +98,17 @@
             self.closed_residents.add(resident)
 
     def reopen_resident(self, resident: str) -> None:
-        """Take requests for a resident again."""
+        """Accept requests for a resident again."""
         with self.lock:
             self.closed_residents.discard(resident)
 
     def in_flight_count(self, resident: str) -> int:
-        """Count the requests that run on a resident or wait for it."""
+        """Return the number of requests that run on a resident or wait for it."""
         with self.lock:
             return self.in_flight[resident]
 
     def load(self) -> Load:
-        """Report the load."""
+        """Return the current load."""
         return Load(
             active=self.queue.active,
             queued=len(self.queue.waiting),
@@ -128,8 +128,12 @@
                 self._release_resident(submit.resident)
         except MimosaspurError as error:
             self._fail(attempt, error)
-        except Exception as error:  # noqa: BLE001  (the entry must hear of every end)
-            log(PART, "A request met a fault of ours.", error=repr(error))
+        except Exception as error:  # noqa: BLE001  (every failure must be reported to the entry)
+            log(
+                PART,
+                "A request failed with an unexpected exception; answering INTERNAL.",
+                error=repr(error),
+            )
             self._fail(attempt, _internal_error(error))
 
     def _adopt(self, attempt: RunningAttempt) -> None:
@@ -137,29 +141,39 @@
             self.runner.adopt(attempt)
             attempt.finish()
             if attempt.submit.work.idempotency_key:
-                held = self.claims.acquire(
+                claim = self.claims.acquire(
                     attempt.submit.work, run_id(attempt), attempt.submit.deadline_ms
                 )
-                self._finish_claim(attempt, held)
+                self._finish_claim(attempt, claim)
         except MimosaspurError as error:
             self._fail(attempt, error)
-        except Exception as error:  # noqa: BLE001  (the entry must hear of every end)
-            log(PART, "A resumed request met a fault of ours.", error=repr(error))
+        except Exception as error:  # noqa: BLE001  (every failure must be reported to the entry)
+            log(
+                PART,
+                "An adopted request failed with an unexpected exception; answering INTERNAL.",
+                error=repr(error),
+            )
             self._fail(attempt, _internal_error(error))
 
     def _check_generation(self, generation: int) -> None:
-        own = self.holder.generation()
-        if own > generation:
-            raise MimosaspurError(ResultCode.STALE_GENERATION, f"It is {own} here.")
-        if own < generation and not self.holder.wait_for(generation, GENERATION_WAIT_S):
-            raise MimosaspurError(ResultCode.NOT_READY_HERE, f"It is {own} here.")
+        own_generation = self.holder.generation()
+        if own_generation > generation:
+            raise MimosaspurError(
+                ResultCode.STALE_GENERATION, f"The target has generation {own_generation}."
+            )
+        if own_generation < generation and not self.holder.wait_for(generation, GENERATION_WAIT_S):
+            raise MimosaspurError(
+                ResultCode.NOT_READY_HERE, f"The target has generation {own_generation}."
+            )
 
     def _acquire_resident(self, resident: str) -> None:
         with self.lock:
             if self.draining:
                 raise MimosaspurError(ResultCode.DRAINING)
             if resident in self.closed_residents or resident not in self.residents():
-                raise MimosaspurError(ResultCode.NOT_READY_HERE, f"No {resident} here.")
+                raise MimosaspurError(
+                    ResultCode.NOT_READY_HERE, f"The target does not serve {resident}."
+                )
             self.in_flight[resident] += 1
 
     def _release_resident(self, resident: str) -> None:
@@ -185,31 +199,31 @@
             self.runner.run(attempt, deadline)
             attempt.finish()
             return
-        held = self.claims.acquire(work, run_id(attempt), deadline.left_ms())
-        if isinstance(held, Claim):
-            _replay(attempt, held)
+        claim = self.claims.acquire(work, run_id(attempt), deadline.left_ms())
+        if isinstance(claim, Claim):
+            _replay(attempt, claim)
             return
-        self._run_claimed(attempt, deadline, held)
+        self._run_claimed(attempt, deadline, claim)
 
-    def _run_claimed(self, attempt: RunningAttempt, deadline: Deadline, held: HeldClaim) -> None:
+    def _run_claimed(self, attempt: RunningAttempt, deadline: Deadline, claim: HeldClaim) -> None:
         try:
             self._check_still_valid(attempt, deadline)
             self.runner.run(attempt, deadline)
         except MimosaspurError as error:
             if error.outcome is Outcome.NOT_RUN:
-                self.claims.release(held)
+                self.claims.release(claim)
             else:
-                self.claims.mark_unknown(held)
+                self.claims.mark_unknown(claim)
             raise
-        # The caller comes first: the object API may be slow or down.
+        # Answer the caller before the store is written, which may be slow or unavailable.
         attempt.finish()
-        self._finish_claim(attempt, held)
+        self._finish_claim(attempt, claim)
 
-    def _finish_claim(self, attempt: RunningAttempt, held: HeldClaim | Claim) -> None:
+    def _finish_claim(self, attempt: RunningAttempt, claim: HeldClaim | Claim) -> None:
         started = attempt.started
-        if isinstance(held, HeldClaim) and started:
+        if isinstance(claim, HeldClaim) and started:
             body = bytes(attempt.buffer)
-            self.claims.finish(held, started.status, started.content_type, body)
+            self.claims.finish(claim, started.status, started.content_type, body)
 
     def _check_still_valid(self, attempt: RunningAttempt, deadline: Deadline) -> None:
         # The process may have been paused since the request was admitted.
@@ -224,7 +238,7 @@
 
 
 def run_id(attempt: RunningAttempt) -> str:
-    """Name an attempt's run, the same after this process is replaced."""
+    """Return an attempt's run id, which stays the same after this process is replaced."""
     request_id, number = attempt.key()
     return f"{request_id}-{number}"
 
--- a/packages/daemon/src/mimosaspur_daemon/singlewriterrecord.py
+++ b/packages/daemon/src/mimosaspur_daemon/singlewriterrecord.py
@@ -1,4 +1,4 @@
-"""Keep one record that only this instance writes."""
+"""Write a stored record that only this instance writes."""
 
 from mimosaspur_state.errors import StoreUnavailable
 from mimosaspur_state.errors import VersionConflict
@@ -8,7 +8,7 @@
 
 
 class SingleWriterRecord:
-    """Write a record by conditional updates, taking over what a predecessor left."""
+    """Write a record by conditional updates, replacing a predecessor's version."""
 
     __slots__ = ("key", "store", "version")
 
@@ -18,7 +18,7 @@
         self.version = ABSENT
 
     def try_write(self, record: Record) -> bool:
-        """Write it; tell whether that is known to have worked."""
+        """Write the record; return whether the write is known to have succeeded."""
         value = record.to_value()
         try:
             if self.version == ABSENT:
@@ -26,7 +26,7 @@
             else:
                 self.version = self.store.update(self.key, value, self.version)
         except VersionConflict as conflict:
-            # An earlier write of ours whose answer was lost, or a predecessor's record.
+            # An earlier write whose answer was lost, or a predecessor's record.
             self.version = conflict.version
             return False
         except StoreUnavailable:
@@ -34,7 +34,7 @@
         return True
 
     def try_delete(self) -> None:
-        """Delete it if that can be done now."""
+        """Try to delete the record once."""
         try:
             self.store.delete(self.key, self.version)
         except (StoreUnavailable, VersionConflict):
--- a/packages/daemon/src/mimosaspur_daemon/targetrole.py
+++ b/packages/daemon/src/mimosaspur_daemon/targetrole.py
@@ -1,4 +1,4 @@
-"""Put the role target together."""
+"""Assemble the target role."""
 
 import uuid
 
@@ -28,7 +28,7 @@
 
 
 class TargetRole:
-    """Own everything that the role target runs."""
+    """Create and start the components of the target role."""
 
     def __init__(self, settings: Settings, clock: Clock) -> None:
         assert settings.target is not None
@@ -64,8 +64,8 @@
         self.address = ""
 
     def start(self, app: Application) -> str:
-        """Start all tasks; return the address that entries reach."""
-        # Binding comes first: from then on no predecessor runs on this instance.
+        """Start all threads and return the address that entries connect to."""
+        # Bind first: this rules out a running predecessor on this instance.
         self.address = self.server.bind()
         self.upstream.on_change.append(self.server.announce_residents)
         self.upstream.on_change.append(self.status_reporter.on_status_change)
@@ -84,7 +84,7 @@
         return self.address
 
     def build_status(self, beat: int) -> TargetStatus:
-        """Describe this target to the planner."""
+        """Return this target's status for the planner."""
         instance = self.settings.instance
         load = self.serving.load()
         return TargetStatus(
@@ -108,10 +108,10 @@
 
     def _create_mirror(self) -> Mirror:
         region = self.settings.instance.region
-        placed = keys.placements(region)
+        placement_prefix = keys.placements(region)
         if self.target.kind is TargetKind.SERVICE:
-            placed = keys.carrier(region, self.target.service)
-        prefixes = (keys.HEAD, placed, keys.drain(self.settings.instance.name))
+            placement_prefix = keys.carrier(region, self.target.service)
+        prefixes = (keys.HEAD, placement_prefix, keys.drain(self.settings.instance.name))
         return Mirror(
             self.store,
             prefixes,
--- a/packages/daemon/src/mimosaspur_daemon/targetserver.py
+++ b/packages/daemon/src/mimosaspur_daemon/targetserver.py
@@ -1,4 +1,4 @@
-"""Serve the entries' connections at a target: one task for each."""
+"""Serve the entries' connections at a target, in one thread each."""
 
 import socket
 import threading
@@ -36,12 +36,12 @@
 
 PART = "TARGET"
 ACCEPT_POLL_S = 0.5
-# An entry beats every second; one that has not for this long is gone for good.
+# An entry that misses this many heartbeats in a row is disconnected.
 MAX_MISSED_HEARTBEATS = 10
 
 
 class EntryConnection:
-    """Hold one entry's connection and its place among that entry's connections."""
+    """Store an entry's connection, its number and whether a newer one supersedes it."""
 
     __slots__ = ("entry", "number", "superseded", "wire")
 
@@ -53,7 +53,7 @@
 
 
 class TargetServer:
-    """Accept entries and carry their messages to the serving side and back."""
+    """Accept entries' connections and handle their messages."""
 
     def __init__(
         self,
@@ -80,14 +80,14 @@
         self.newest_connections: dict[str, EntryConnection] = {}
 
     def bind(self) -> str:
-        """Listen alone on the settings' address; raise OSError when it is taken."""
+        """Bind the address in the settings exclusively; raise OSError if it is in use."""
         self.socket = listen(self.target.listen)
         self.socket.settimeout(ACCEPT_POLL_S)
         host, port = self.socket.getsockname()
         return f"{host}:{port}"
 
     def run(self, stop: threading.Event) -> None:
-        """Accept connections until told to stop."""
+        """Accept connections until `stop` is set."""
         assert self.socket is not None
         with self.socket:
             while not stop.is_set():
@@ -99,20 +99,20 @@
                 threading.Thread(target=self._serve_connection, args=(wire,), daemon=True).start()
 
     def sweep(self, stop: threading.Event) -> None:
-        """Let go of answers that nobody fetches until told to stop."""
+        """Drop expired answers periodically until `stop` is set."""
         while not stop.wait(1):
             self.registry.sweep()
 
     def announce_draining(self) -> None:
-        """Tell every entry to send nothing new."""
+        """Notify all entries that this target is draining."""
         self._broadcast(Draining(self.settings.instance.name))
 
     def announce_residents(self) -> None:
-        """Tell every entry what can be served now."""
+        """Send all entries the residents that can be served now."""
         self._broadcast(Residents(self.residents()))
 
     def announce_generation(self) -> None:
-        """Tell every entry the generation; whoever is behind asks one of us for the bundle."""
+        """Send all entries the generation; those with an older one request the bundle."""
         self._broadcast(Generation(self.holder.generation()))
 
     def _broadcast(self, message: Message) -> None:
@@ -122,20 +122,25 @@
             try:
                 connection.wire.send(message)
             except ConnectionLost:
-                continue  # Its own task notices and ends.
+                continue  # The connection's own thread handles the loss.
 
     def _serve_connection(self, wire: Wire) -> None:
         connection = EntryConnection(wire)
-        beat_ms = self.settings.peers.heartbeat_ms * MAX_MISSED_HEARTBEATS
-        wire.sock.settimeout(beat_ms / 1000)
+        timeout_ms = self.settings.peers.heartbeat_ms * MAX_MISSED_HEARTBEATS
+        wire.sock.settimeout(timeout_ms / 1000)
         try:
             while True:
                 for message in wire.receive():
                     self._handle(message, connection)
         except (ConnectionLost, TimeoutError) as error:
-            log(PART, "Lost an entry's connection.", entry=connection.entry, error=str(error))
+            log(PART, "Lost the connection to an entry.", entry=connection.entry, error=str(error))
         except ProtocolError as error:
-            log(PART, "Closed a connection.", entry=connection.entry, error=str(error))
+            log(
+                PART,
+                "Closed the connection to an entry after a protocol error.",
+                entry=connection.entry,
+                error=str(error),
+            )
         finally:
             self._close_connection(connection)
 
@@ -194,7 +199,7 @@
         elif not self._try_register(attempt, connection):
             return
         elif message.incarnation == self.incarnation:
-            # It never came, and older connections are shut out, so it can't come twice.
+            # The Submit never arrived, and superseded connections are rejected: no double run.
             self._request_newer_bundle(submit.generation, connection)
             self.serving.start(attempt)
         else:
@@ -240,18 +245,18 @@
         )
 
     def _try_register(self, attempt: RunningAttempt, connection: EntryConnection) -> bool:
-        """Tell whether an attempt may begin: once, and never from a connection shut out."""
+        """Register an attempt; return False if it is known or its connection is superseded."""
         with self.lock:
             return not connection.superseded and self.registry.add(attempt)
 
-    def _request_newer_bundle(self, theirs: int, connection: EntryConnection) -> None:
-        if self.holder.should_request(theirs, self.clock.now_ms()):
+    def _request_newer_bundle(self, entry_generation: int, connection: EntryConnection) -> None:
+        if self.holder.should_request(entry_generation, self.clock.now_ms()):
             connection.wire.send(BundleWanted(self.holder.generation()))
 
 
 def _answer_dropped_error() -> MimosaspurError:
     return MimosaspurError(
         ResultCode.OUTCOME_UNKNOWN,
-        "Its answer waited for target.keep_answer_ms and was dropped.",
+        "The answer was dropped after target.keep_answer_ms.",
         outcome=Outcome.UNKNOWN,
     )
--- a/packages/daemon/src/mimosaspur_daemon/upstream.py
+++ b/packages/daemon/src/mimosaspur_daemon/upstream.py
@@ -1,4 +1,4 @@
-"""Tell apart what may stand behind a target: a model engine or a plain service."""
+"""Provide one interface to a target's upstream: a model engine or a plain service."""
 
 import threading
 from collections.abc import Callable
@@ -28,21 +28,21 @@
 
 
 class Upstream(Protocol):
-    """Hold what the role target needs of what stands behind it."""
+    """Define what the target role needs of its upstream."""
 
     runner: Runner
     on_change: list[Callable[[], None]]
 
     def attach(self, serving: Serving) -> None:
-        """Connect with the serving side, before `run`."""
+        """Connect to the serving side; call it before `run`."""
         ...
 
     def residents(self) -> tuple[str, ...]:
-        """Return what can be served now."""
+        """Return the ids of the residents that can be served now."""
         ...
 
     def free_mb(self) -> tuple[int, ...]:
-        """Return the memory left on each accelerator."""
+        """Return the free memory of each accelerator."""
         ...
 
     def capacity_mb(self) -> tuple[int, ...]:
@@ -50,32 +50,32 @@
         ...
 
     def layout(self) -> dict[str, tuple[int, ...]]:
-        """Return the accelerators of each model that takes memory."""
+        """Return the accelerators of each model that holds memory."""
         ...
 
     def held_mb(self) -> dict[str, int]:
-        """Return each model's memory with its adapters on each accelerator."""
+        """Return the memory per accelerator of each model with its adapters."""
         ...
 
     def run(self, stop: threading.Event) -> None:
-        """Keep it as placement asks until told to stop."""
+        """Apply the placement until `stop` is set."""
         ...
 
     def is_withdrawn(self) -> bool:
-        """Tell whether nothing depends on this target any more."""
+        """Return whether no record names this target any more."""
         ...
 
     def withdraw(self) -> bool:
-        """Move off placement as far as this target decides that; tell whether it is off."""
+        """Withdraw this target from its records if allowed; return whether it is withdrawn."""
         ...
 
     def cancel_withdrawal(self) -> None:
-        """Take back `leave`."""
+        """Cancel `withdraw`."""
         ...
 
 
 class EngineUpstream:
-    """Keep a model engine."""
+    """Reconcile a model engine with its placement."""
 
     def __init__(
         self,
@@ -104,7 +104,7 @@
         self.reconciler: EngineReconciler | None = None
 
     def attach(self, serving: Serving) -> None:
-        """Connect with the serving side, before `run`."""
+        """Connect to the serving side; call it before `run`."""
         self.reconciler = EngineReconciler(
             self.settings,
             self.store,
@@ -121,11 +121,11 @@
         self.reconciler.on_change = self.on_change
 
     def residents(self) -> tuple[str, ...]:
-        """Return what can be served now."""
+        """Return the ids of the residents that can be served now."""
         return self.reconciler.ready_residents() if self.reconciler else ()
 
     def free_mb(self) -> tuple[int, ...]:
-        """Return the memory left on each accelerator."""
+        """Return the free memory of each accelerator."""
         return self.reconciler.free_mb() if self.reconciler else ()
 
     def capacity_mb(self) -> tuple[int, ...]:
@@ -133,36 +133,36 @@
         return self.reconciler.capacity_mb() if self.reconciler else ()
 
     def layout(self) -> dict[str, tuple[int, ...]]:
-        """Return the accelerators of each model that takes memory."""
+        """Return the accelerators of each model that holds memory."""
         return self.reconciler.layout() if self.reconciler else {}
 
     def held_mb(self) -> dict[str, int]:
-        """Return each model's memory with its adapters on each accelerator."""
+        """Return the memory per accelerator of each model with its adapters."""
         return self.reconciler.held_mb() if self.reconciler else {}
 
     def run(self, stop: threading.Event) -> None:
-        """Keep the engine as placement asks until told to stop."""
+        """Reconcile the engine with its placement until `stop` is set."""
         assert self.reconciler is not None
         self.reconciler.run(stop)
 
     def is_withdrawn(self) -> bool:
-        """Tell whether no placement record names this target."""
-        own = self.settings.instance.name
+        """Return whether no placement record names this target."""
+        own_name = self.settings.instance.name
         records = self.mirror.list_prefix(keys.placements(self.settings.instance.region))
         return not any(
-            replica["target"] == own for item in records for replica in item.value["replicas"]
+            replica["target"] == own_name for item in records for replica in item.value["replicas"]
         )
 
     def withdraw(self) -> bool:
-        """Wait for the planner, which moves the models first."""
+        """Return whether the planner has moved all models away."""
         return self.is_withdrawn()
 
     def cancel_withdrawal(self) -> None:
-        """Wait for the planner, which may place models here again."""
+        """Do nothing: the planner may place models here again."""
 
 
 class ServiceUpstream:
-    """Keep a plain service registered as carried by this target."""
+    """Keep this target registered as a carrier of its plain service."""
 
     def __init__(
         self, settings: Settings, target: TargetSettings, store: ObjectStore, mirror: Mirror
@@ -180,44 +180,44 @@
         self.withdrawing = False
 
     def attach(self, serving: Serving) -> None:
-        """Need nothing of the serving side."""
+        """Do nothing: a plain service needs no hooks of the serving side."""
 
     def residents(self) -> tuple[str, ...]:
-        """Return what can be served now."""
+        """Return the ids of the residents that can be served now."""
         return (self.resident,)
 
     def free_mb(self) -> tuple[int, ...]:
-        """Return nothing: a plain service has no accelerators."""
+        """Return an empty value: a plain service has no accelerators."""
         return ()
 
     def capacity_mb(self) -> tuple[int, ...]:
-        """Return nothing: a plain service has no accelerators."""
+        """Return an empty value: a plain service has no accelerators."""
         return ()
 
     def layout(self) -> dict[str, tuple[int, ...]]:
-        """Return nothing: a plain service has no accelerators."""
+        """Return an empty value: a plain service has no accelerators."""
         return {}
 
     def held_mb(self) -> dict[str, int]:
-        """Return nothing: a plain service has no accelerators."""
+        """Return an empty value: a plain service has no accelerators."""
         return {}
 
     def run(self, stop: threading.Event) -> None:
-        """Keep the service registered until told to stop."""
+        """Keep the service registered until `stop` is set."""
         while not stop.is_set():
             if not self.withdrawing:
                 self.registration.register()
             stop.wait(REGISTER_INTERVAL_S)
 
     def is_withdrawn(self) -> bool:
-        """Tell whether the record no longer names this target."""
+        """Return whether the service's record no longer names this target."""
         return not self.registration.is_registered()
 
     def withdraw(self) -> bool:
-        """Take this target off the record if another one carries the service."""
+        """Deregister this target if another one carries the service."""
         self.withdrawing = True
         return self.registration.deregister()
 
     def cancel_withdrawal(self) -> None:
-        """Register again."""
+        """Resume registering this target."""
         self.withdrawing = False
