--- a/features/drain.feature
+++ b/features/drain.feature
@@ -1,5 +1,5 @@
 Feature: Operators order targets to leave
-  A target on its way out gets no new work, its models move first, and nothing is cut.
+  Guards against requests that fail and models that become unreachable while a target drains.
 
   Background:
     Given a drain site of three model targets with "notes" twice and "dispatch" once
--- a/features/drain_stops.feature
+++ b/features/drain_stops.feature
@@ -1,5 +1,5 @@
 Feature: Planned stops cut nothing
-  SIGTERM ends a process gracefully; a plain service stays reachable while its targets change.
+  Guards against cut requests after SIGTERM and against a plain service without any target.
 
   Scenario Outline: A target is stopped with a stream in flight, <fault>
     Given a drain site of three model targets with "notes" twice and "dispatch" once
--- a/features/harness/drain_world.py
+++ b/features/harness/drain_world.py
@@ -1,4 +1,4 @@
-"""Keep requests running and look at processes while a site changes under them."""
+"""Send continuous requests and inspect processes while a site changes."""
 
 import http.client
 import json
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """Send one request after another until stopped; versions are those that answered."""
+    """Send requests one at a time until stopped, and record the versions that answered."""
 
     address: str
     name: str
@@ -40,12 +40,12 @@
     steady: Steady | None = None
 
     def start(self) -> "Traffic":
-        """Begin."""
+        """Start sending."""
         self.steady = Steady(self._send_request)
         return self
 
     def stop(self) -> None:
-        """End after the request under way."""
+        """Stop after the current request."""
         assert self.steady
         self.steady.stop()
 
@@ -54,11 +54,11 @@
         self.sent += 1
         if self.service:
             reply = service_call(self.address, self.name, content).wait()
-            good = reply.status == 200 and reply.json()["echo"] == content
+            succeeded = reply.status == 200 and reply.json()["echo"] == content
         else:
             reply = chat_call(self.address, self.name, content, max_tokens=MAX_TOKENS).wait()
-            good = reply.whole() and self._record_version(reply, content)
-        if not good:
+            succeeded = reply.whole() and self._record_version(reply, content)
+        if not succeeded:
             self.failures.append((reply.status, reply.body, reply.broken))
 
     def _record_version(self, reply: Reply, content: str) -> bool:
@@ -70,33 +70,33 @@
 
 
 def run_count(site: Site, target: str) -> int:
-    """Return how many requests a target's engine or service has run."""
+    """Return the number of requests that a target's engine or service has run."""
     if target in site.services:
         return sum(site.service_log(target)["by_body"].values())
     return sum(site.engine_log(target)["runs"].values())
 
 
 def targets_holding(site: Site, model: str, *states: str) -> set[str]:
-    """Return the targets that hold a model in one of these states."""
+    """Return the targets with a replica of a model in one of the states."""
     found = site.replicas(model).items()
     return {key.split()[0] for key, state in found if state in (states or ("ready", "leaving"))}
 
 
 def service_targets(site: Site, service: str) -> set[str]:
-    """Return the targets that the record of a service names."""
+    """Return the targets in the record of a service."""
     found = site.store().get(keys.carrier(REGION, service))
     return {replica["target"] for replica in found.value["replicas"]} if found else set()
 
 
 def wait_until_drained(site: Site, target: str) -> None:
-    """Wait until a target has left all records and says that it drains."""
+    """Wait until no record names a target and its status reports that it drains."""
     names = ("notes", "dispatch")
 
-    def off() -> bool:
+    def withdrawn() -> bool:
         placed = any(target in targets_holding(site, n, "load", "ready", "leaving") for n in names)
         return not placed and target not in service_targets(site, "bookings")
 
-    wait_for(off, f"no record names {target}")
+    wait_for(withdrawn, f"no record names {target}")
     wait_for(partial(_is_draining, site, target), f"{target} drains")
 
 
@@ -106,7 +106,7 @@
 
 
 def read_generation(site: Site, name: str) -> int:
-    """Ask a process for its generation, an entry over HTTP and a target as a peer does."""
+    """Return a process's generation: an entry's over HTTP, a target's by the peer protocol."""
     daemon = site.daemons[name]
     if daemon.role == "entry":
         return int(get_json(daemon.address, "/healthz")[1]["generation"])
@@ -129,7 +129,7 @@
 
 
 def get_json(address: str, path: str) -> tuple[int, Any]:
-    """Return the status and the JSON that an entry gives at a path."""
+    """Return the status and the JSON body of a GET request to an entry."""
     host, _, port = address.rpartition(":")
     connection = http.client.HTTPConnection(host, int(port), timeout=PROBE_TIMEOUT_MS / 1000)
     try:
--- a/features/harness/memory_replay.py
+++ b/features/harness/memory_replay.py
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Order:
-    """Remember one order of a history."""
+    """Store one order and the times at which it was sent."""
 
     order_id: str
     resident: str
@@ -34,51 +34,51 @@
 
 @dataclass(slots=True)
 class History:
-    """Keep everything that happened; every sum is made anew from the whole of it."""
+    """Store all orders and reports, and compute every sum from all of them."""
 
     orders: list[Order] = field(default_factory=list)
     reports: list[tuple[int, EngineState]] = field(default_factory=list)
 
     def free_mb(self) -> tuple[int, ...]:
-        """Add up what the last report shows and what no report has settled."""
-        asked = max(at for at, _ in self.reports)
-        last = [report for at, report in self.reports if at == asked][-1]
+        """Return the free memory by the last report and the unsettled orders."""
+        requested_at_ms = max(at for at, _ in self.reports)
+        last = [report for at, report in self.reports if at == requested_at_ms][-1]
         free = list(last.capacity_mb)
         for resident in last.residents:
             for index in resident.accelerators:
                 free[index] -= resident.memory_mb
         for order in self.orders:
-            shown = includes_order(last, order) or last.resident(order.resident) is not None
-            if not shown and not self.is_settled(order):
+            included = includes_order(last, order) or last.resident(order.resident) is not None
+            if not included and not self.is_settled(order):
                 for index in order.accelerators:
                     free[index] -= order.memory_mb
         return tuple(max(0, mb) for mb in free)
 
     def is_settled(self, order: Order) -> bool:
-        """Tell whether a report settled an order, in the order in which reports came."""
+        """Return whether a report settled an order, ignoring reports that came out of order."""
         sent_ms = max(at for at, _ in order.sends)
         all_answered = all(answered for _, answered in order.sends)
         newest = -1
-        for asked, report in self.reports:
-            if asked < newest:
+        for requested_at_ms, report in self.reports:
+            if requested_at_ms < newest:
                 continue
-            newest = asked
-            if asked - sent_ms >= MAX_ORDER_DELAY_MS:
+            newest = requested_at_ms
+            if requested_at_ms - sent_ms >= MAX_ORDER_DELAY_MS:
                 return True
-            if asked >= sent_ms and all_answered and includes_order(report, order):
+            if requested_at_ms >= sent_ms and all_answered and includes_order(report, order):
                 return True
         return False
 
 
 def includes_order(report: EngineState, order: Order) -> bool:
-    """Tell whether a report shows an order."""
+    """Return whether a report includes an order."""
     if any(known.order_id == order.order_id for known in report.orders):
         return True
     return any(resident.order_id == order.order_id for resident in report.residents)
 
 
 def draw_report(data: strategies.DataObject, history: History) -> EngineState:
-    """Make up a report: any orders done, any residents there, ours or not."""
+    """Draw a report of any finished orders and any residents, imports included."""
     known = []
     residents = {}
     for order in history.orders:
@@ -93,14 +93,14 @@
     return EngineState("engine", 1, CAPACITY_MB, tuple(residents.values()), tuple(known))
 
 
-def make_resident(name: str, memory_mb: int, place: tuple[int, ...]) -> Resident:
-    """Make up a resident."""
+def make_resident(name: str, memory_mb: int, accelerators: tuple[int, ...]) -> Resident:
+    """Return a resident that is ready."""
     kind = ResidentKind.MODEL
-    return Resident(name, None, kind, memory_mb, place, ResidentState.READY, "")
+    return Resident(name, None, kind, memory_mb, accelerators, ResidentState.READY, "")
 
 
 def replay(data: strategies.DataObject) -> None:
-    """Let random things happen to a ledger and compare its sums after each."""
+    """Apply random events to a ledger and compare its sums after each."""
     ledger = MemoryLedger(longest_order_delay_ms=MAX_ORDER_DELAY_MS)
     history = History()
     now_ms = 1
@@ -108,19 +108,19 @@
     for number in range(data.draw(strategies.integers(1, 20))):
         now_ms += data.draw(strategies.integers(0, 60))
         if data.draw(strategies.booleans()):
-            asked = now_ms - data.draw(strategies.integers(0, 40))
-            apply_report(ledger, history, draw_report(data, history), max(1, asked))
+            requested_at_ms = now_ms - data.draw(strategies.integers(0, 40))
+            apply_report(ledger, history, draw_report(data, history), max(1, requested_at_ms))
         else:
             send_order(data, ledger, history, f"order-{number}", now_ms)
         assert ledger.free_mb() == history.free_mb(), (ledger, history)
 
 
 def apply_report(
-    ledger: MemoryLedger, history: History, report: EngineState, asked_ms: int
+    ledger: MemoryLedger, history: History, report: EngineState, requested_at_ms: int
 ) -> None:
-    """Give a report to both."""
-    history.reports.append((asked_ms, report))
-    ledger.settle(report, asked_at_ms=asked_ms)
+    """Apply a report to the ledger and the history."""
+    history.reports.append((requested_at_ms, report))
+    ledger.settle(report, asked_at_ms=requested_at_ms)
 
 
 def send_order(
@@ -130,32 +130,32 @@
     order_id: str,
     now_ms: int,
 ) -> None:
-    """Reserve and send an order, or repeat one that is held."""
+    """Reserve and send an order, or resend one that the ledger holds."""
     answered = data.draw(strategies.booleans())
     held = [order for order in history.orders if order.order_id in ledger.held]
-    repeats: bool = data.draw(strategies.booleans())
-    if held and repeats:
-        again = held[data.draw(strategies.integers(0, len(held) - 1))]
-        again.sends.append((now_ms, answered))
-        ledger.sent(again.order_id, at_ms=now_ms, answered=answered)
+    resends: bool = data.draw(strategies.booleans())
+    if held and resends:
+        resent = held[data.draw(strategies.integers(0, len(held) - 1))]
+        resent.sends.append((now_ms, answered))
+        ledger.sent(resent.order_id, at_ms=now_ms, answered=answered)
         return
     name = data.draw(strategies.sampled_from(RESIDENT_IDS))
     memory_mb = data.draw(strategies.integers(1, 600))
     count = data.draw(strategies.integers(1, 2))
     free = history.free_mb()
-    place = ledger.try_reserve(order_id, name, memory_mb, count, now_ms=now_ms)
+    accelerators = ledger.try_reserve(order_id, name, memory_mb, count, now_ms=now_ms)
     fitting = [index for index, mb in enumerate(free) if mb >= memory_mb]
-    assert (place is not None) == (len(fitting) >= count), (free, memory_mb, count)
-    if place is None:
+    assert (accelerators is not None) == (len(fitting) >= count), (free, memory_mb, count)
+    if accelerators is None:
         return
-    assert len(place) == count
-    assert set(place) <= set(fitting), (place, free, memory_mb)
+    assert len(accelerators) == count
+    assert set(accelerators) <= set(fitting), (accelerators, free, memory_mb)
     ledger.sent(order_id, at_ms=now_ms, answered=answered)
-    history.orders.append(Order(order_id, name, memory_mb, place, [(now_ms, answered)]))
+    history.orders.append(Order(order_id, name, memory_mb, accelerators, [(now_ms, answered)]))
 
 
 def check_histories(count: int) -> None:
-    """Check so many histories, the same ones on every run."""
+    """Check `count` random histories, the same ones on every run."""
 
     @settings(
         max_examples=count,
--- a/features/harness/memory_world.py
+++ b/features/harness/memory_world.py
@@ -1,4 +1,4 @@
-"""Run an engine keeper in this process against stand-in processes."""
+"""Run an engine reconciler in this process against stand-in processes."""
 
 import json
 import threading
@@ -49,7 +49,7 @@
 
 
 def assert_holds(condition: Callable[[], bool], ms: int, what: str) -> None:
-    """Check that a condition holds over a time."""
+    """Assert that a condition holds for a duration."""
     end = time.monotonic() + ms / 1000
     while time.monotonic() < end:
         assert condition(), what
@@ -58,21 +58,21 @@
 
 @dataclass(slots=True)
 class RunningReconciler:
-    """Hold a keeper and the threads that drive it."""
+    """Hold a reconciler and its threads."""
 
     reconciler: EngineReconciler
     stop: threading.Event
     threads: list[threading.Thread]
 
     def kill(self) -> None:
-        """End it without any farewell."""
+        """Stop the reconciler without a graceful shutdown."""
         self.stop.set()
         self.reconciler.wake.set()
         self.threads[0].join(TIMEOUT_S)
 
 
 class PausedClock(SystemClock):
-    """Jump ahead, as the clock does for a process that was paused."""
+    """Advance the clock by simulated pauses of the process."""
 
     __slots__ = ("paused_ms",)
 
@@ -80,19 +80,19 @@
         self.paused_ms = 0
 
     def now_ms(self) -> int:
-        """Return monotonic time with the pauses."""
+        """Return monotonic time plus the pauses."""
         return super().now_ms() + self.paused_ms
 
 
 @dataclass(slots=True)
 class FakeServing:
-    """Stand in for the serving side."""
+    """Simulate the serving side."""
 
     requests: dict[str, int] = field(default_factory=dict)
     closed: set[str] = field(default_factory=set)
 
     def hooks(self) -> ServingHooks:
-        """Return what the keeper is given."""
+        """Return the hooks for the reconciler."""
         return ServingHooks(
             lambda name: self.requests.get(name, 0), self.closed.add, self.closed.discard
         )
@@ -100,7 +100,7 @@
 
 @dataclass(slots=True)
 class MemoryWorld:
-    """Hold one scenario's stand-ins, records and keepers."""
+    """Hold one scenario's stand-ins, records and reconcilers."""
 
     context: Context
     capacity_mb: list[int] = field(default_factory=lambda: [1000])
@@ -126,7 +126,7 @@
         self.store = self.new_store("harness")
 
     def start_engine(self) -> None:
-        """Start the engine, at its former address if it had one."""
+        """Start the engine, at its previous address if it had one."""
         options = [f"--capacity-mb={mb}" for mb in self.capacity_mb]
         options += [f"--load-ms={self.load_ms}", f"--address={self.engine or '127.0.0.1:0'}"]
         if not self.checks_fencing:
@@ -135,19 +135,19 @@
         self.engine = self.engine_process.address
 
     def restart_engine(self) -> None:
-        """End the engine and start it anew at its address; its log starts anew too."""
+        """Restart the engine at its address with an empty log."""
         self.check_memory()
         stop_gracefully(self.engine_process)
         self.start_engine()
 
     def check_memory(self) -> None:
-        """Check the engine's own sums."""
+        """Assert that the engine was never overcommitted."""
         log = self.engine_log()
-        sums = f"at most {log['max_used_mb']} of {self.capacity_mb} MB"
-        assert not log["overcommitted"], f"the engine was overcommitted: {sums}"
+        usage = f"at most {log['max_used_mb']} of {self.capacity_mb} MB"
+        assert not log["overcommitted"], f"the engine was overcommitted: {usage}"
 
     def new_store(self, caller: str) -> HttpObjectStore:
-        """Return a way to the object API."""
+        """Return a client of the object API."""
         return HttpObjectStore(
             self.api,
             caller=caller,
@@ -175,10 +175,10 @@
         return settings_from_text(json.dumps(value), file="memory.feature")
 
     def start_reconciler(self) -> None:
-        """Start a keeper with its mirror."""
+        """Start a reconciler with its mirror."""
         store = self.new_store(TARGET)
         mirror = Mirror(store, (keys.placements(REGION),), wait_ms=WATCH_MS)
-        keeper = EngineReconciler(
+        reconciler = EngineReconciler(
             self.settings(),
             store,
             EngineAdmin(self.engine, ENGINE_TIMEOUT_MS),
@@ -189,29 +189,29 @@
             serving=self.serving.hooks(),
         )
         stop = threading.Event()
-        runs = (keeper.run, mirror.run)
-        threads = [threading.Thread(target=run, args=(stop,), daemon=True) for run in runs]
-        self.reconcilers.append(RunningReconciler(keeper, stop, threads))
+        targets = (reconciler.run, mirror.run)
+        threads = [threading.Thread(target=run, args=(stop,), daemon=True) for run in targets]
+        self.reconcilers.append(RunningReconciler(reconciler, stop, threads))
         for thread in threads:
             thread.start()
 
     @property
     def reconciler(self) -> EngineReconciler:
-        """Return the newest keeper."""
+        """Return the newest reconciler."""
         return self.reconcilers[-1].reconciler
 
     def close(self) -> None:
-        """End all keepers."""
+        """Stop all reconcilers."""
         for running in self.reconcilers:
             running.kill()
 
     def add_model(
-        self, resident: str, memory_mb: int, adapters_mb: list[int], *, changed: str = "1"
+        self, resident: str, memory_mb: int, adapters_mb: list[int], *, adapter_version: str = "1"
     ) -> None:
-        """Put a model in the bundle in force."""
+        """Add a model to the current bundle."""
         name, _, version = resident.partition("@")
         adapters = tuple(
-            AdapterEntry(f"{name}-x{number}", changed, mb)
+            AdapterEntry(f"{name}-x{number}", adapter_version, mb)
             for number, mb in enumerate(adapters_mb, start=1)
         )
         self.models[name] = ModelEntry(name, version, memory_mb, adapters=adapters)
@@ -225,12 +225,12 @@
         return placement_from_value(item.value) if item else PlacementRecord(name, 1)
 
     def write_replica(self, resident: str, state: ReplicaState, *, target: str = TARGET) -> None:
-        """Write a replica into its model's record."""
+        """Add a replica to its model's record."""
         name, _, version = resident.partition("@")
         self.write_record(self.read_record(name).with_replica(Replica(target, version, state)))
 
     def write_record(self, record: PlacementRecord) -> None:
-        """Write a record whatever its version."""
+        """Create or overwrite a record."""
         key = keys.placement(REGION, record.model)
         item = self.store.get(key)
         if item is None:
@@ -252,5 +252,5 @@
         return {item["id"]: item["state"] for item in found if item["kind"] != "import"}
 
     def engine_log(self) -> Any:
-        """Return what the engine notes for us."""
+        """Return the engine stand-in's log."""
         return call(self.engine, "GET", "/log")
--- a/features/memory.feature
+++ b/features/memory.feature
@@ -1,6 +1,6 @@
 Feature: The engine's memory
-  The process beside an engine alone gives it orders. It counts every order whose outcome is
-  unknown, so that the sum on each accelerator stays under its capacity whatever gets lost or late.
+  Guards against overcommitted accelerators and early unloads when orders to an engine, their
+  answers or calls to the object API are lost, late or repeated.
 
   Scenario Outline: A bundle is rolled while an order's outcome is unknown
     Given the engine <fencing> fencing tokens and has accelerators of 1000 MB
--- a/features/replace.feature
+++ b/features/replace.feature
@@ -1,5 +1,5 @@
 Feature: Instances are replaced all day
-  A process that is stopped and started again in its place costs neither requests nor moves.
+  Guards against failed requests and needless model moves when a process is replaced in place.
 
   Scenario: The process beside a model's only target is replaced under traffic
     Given a drain site of three model targets with "notes" twice and "dispatch" once
--- a/features/steps/drain_steps.py
+++ b/features/steps/drain_steps.py
@@ -1,4 +1,4 @@
-"""Steps of orders to leave and of planned stops."""
+"""Steps for drain orders and planned stops."""
 
 import os
 import subprocess
@@ -35,11 +35,10 @@
 TARGETS = ("model-0", "model-1", "model-2")
 STREAM_TOKENS = 300
 TOKEN_MS = 10
-COMMAND_S = 20.0
-MORE_REQUESTS = 30
-# A process that is replaced is back in a second, beside other work in several: callers' patience
-# is a setting, and has to outlast the start of a process on the machine that the tests get.
-REPLACED_MS = 15_000
+COMMAND_TIMEOUT_S = 20.0
+MIN_EXTRA_REQUESTS = 30
+# Callers must be kept waiting for longer than a process takes to restart on a busy machine.
+WAIT_READY_MS = 15_000
 
 
 @given('a drain site of three model targets with "notes" twice and "dispatch" once')
@@ -49,7 +48,7 @@
     for name in TARGETS:
         site.model_target(name, relay=True, engine_options=options)
     for name in ENTRIES:
-        site.entry(name, wait_ready_ms=REPLACED_MS)
+        site.entry(name, wait_ready_ms=WAIT_READY_MS)
     site.await_targets()
     site.roll("first", [model("notes", replicas=2), model("dispatch")])
     for name in ENTRIES:
@@ -86,10 +85,10 @@
 
 
 @given("the drain site's instance list lags by {seconds:d} s")
-def lag_list(context: Context, seconds: int) -> None:
+def delay_instance_list(context: Context, seconds: int) -> None:
     site = context.site
     call(site.api, "POST", "/lag", {"lag_ms": seconds * 1000})
-    # The stand-in shows what was there that long ago, so the start must be as old.
+    # The stand-in returns an old list, so wait until it includes the start.
     wait_for(
         lambda: len(call(site.api, "GET", "/instances")["instances"]) == len(site.daemons),
         "the lagging list shows all",
@@ -121,9 +120,9 @@
 @when('an operator orders a target of "{name}" to leave by the {means}, {fault}')
 def order_holder(context: Context, name: str, means: str, fault: str) -> None:
     site = context.site
-    held = sorted(targets_holding(site, name, "ready"))
+    holding = sorted(targets_holding(site, name, "ready"))
     stream = getattr(context, "stream_target", "")
-    target = stream if stream in held else held[0]
+    target = stream if stream in holding else holding[0]
     if fault == "orders to engines get lost":
         for engine in site.engines.values():
             add_fault(engine.address, "drop", match="POST /admin/orders", count=2)
@@ -140,7 +139,7 @@
 
 
 @when("the operator takes the order back")
-def take_back(context: Context) -> None:
+def withdraw_order(context: Context) -> None:
     store, key = context.site.store(), keys.drain(context.drained)
     found = store.get(key)
     assert found
@@ -162,15 +161,15 @@
 
 
 @then("{seconds:d} s after the order the target gets no new work")
-def check_quiet(context: Context, seconds: int) -> None:
+def check_no_new_work(context: Context, seconds: int) -> None:
     site, target = context.site, context.drained
     end = context.ordered_at + seconds
-    # The measure is the order's age, so this is the time that may pass, not a wait for a race.
+    # The scenario bounds the time since the order after which no new work may arrive.
     wait_for(lambda: time.monotonic() >= end, "the order's age", bound_s=seconds + 1)
     before = run_count(site, target)
     sent = [traffic.sent for traffic in context.traffic]
-    for traffic, had in zip(context.traffic, sent, strict=True):
-        wait_for(lambda t=traffic, h=had: t.sent > h + MORE_REQUESTS, "more requests")  # type: ignore[misc]
+    for traffic, sent_before in zip(context.traffic, sent, strict=True):
+        wait_for(lambda t=traffic, h=sent_before: t.sent > h + MIN_EXTRA_REQUESTS, "more requests")  # type: ignore[misc]
     after = run_count(site, target)
     assert after == before, f"{after - before} requests ran on {target} after {seconds} s"
 
@@ -184,28 +183,28 @@
 
 
 @then("the target has left the drain site once {what}")
-def check_left_later(context: Context, what: str) -> None:
+def check_left_after_recovery(context: Context, what: str) -> None:
     for address in (context.site.api, *(e.address for e in context.site.engines.values())):
         clear_faults(address)
     check_left(context)
 
 
 @then('the third target holds "{name}" before either lets go')
-def check_third(context: Context, name: str) -> None:
+def check_third_target(context: Context, name: str) -> None:
     site = context.site
     third = next(target for target in TARGETS if target not in context.leaving)
 
     def let_go() -> bool:
-        held = targets_holding(site, name)
-        if not set(context.leaving) <= held:
+        holding = targets_holding(site, name)
+        if not set(context.leaving) <= holding:
             assert third in targets_holding(site, name, "ready"), site.replicas(name)
-        return not set(context.leaving) & held
+        return not set(context.leaving) & holding
 
-    wait_for(let_go, "both let go")
+    wait_for(let_go, "both removed the model")
 
 
 @then('the target still serves "{name}" and gets new work')
-def check_stays(context: Context, name: str) -> None:
+def check_stays_in_service(context: Context, name: str) -> None:
     site, target = context.site, context.drained
     assert targets_holding(site, name) == {target}, site.replicas(name)
     for engine in site.engines.values():
@@ -231,17 +230,17 @@
 
 
 @then('"{name}" tells the balancer that it is {state}')
-def check_ready(context: Context, name: str, state: str) -> None:
+def check_readiness(context: Context, name: str, state: str) -> None:
     wanted = 200 if state == "ready" else 503
     address = context.site.daemons[name].public
     wait_for(lambda: get_json(address, "/readyz")[0] == wanted, f"{name} is {state}", bound_s=3)
 
 
 @then('"{name}" still serves "{service}" {seconds:d} s later')
-def check_still(context: Context, name: str, service: str, seconds: int) -> None:
+def check_still_served(context: Context, name: str, service: str, seconds: int) -> None:
     end = context.ordered_at + seconds
     wait_for(lambda: time.monotonic() >= end, "the order's age", bound_s=seconds + 1)
-    assert name in service_targets(context.site, service), "it took itself off"
+    assert name in service_targets(context.site, service), "it deregistered itself"
     before = run_count(context.site, name)
     wait_for(lambda: run_count(context.site, name) > before, f"new work at {name}", bound_s=3)
 
@@ -251,11 +250,15 @@
     context.drained = target
     if by_command:
         command = [*COMMAND, "instance", "drain", target, "--reason", "new host"]
-        told = {"MIMOSASPUR_OBJECT_API": site.api, "MIMOSASPUR_OPERATOR": "ana"}
-        done = subprocess.run(
-            command, env={**os.environ, **told}, capture_output=True, timeout=COMMAND_S, check=False
+        environment = {"MIMOSASPUR_OBJECT_API": site.api, "MIMOSASPUR_OPERATOR": "ana"}
+        completed = subprocess.run(
+            command,
+            env={**os.environ, **environment},
+            capture_output=True,
+            timeout=COMMAND_TIMEOUT_S,
+            check=False,
         )
-        assert done.returncode == 0, done.stderr
+        assert completed.returncode == 0, completed.stderr
     else:
         site.store().create(keys.drain(target), DrainOrder("ana", "new host", 0).to_value())
     context.ordered_at = time.monotonic()
--- a/features/steps/memory_steps.py
+++ b/features/steps/memory_steps.py
@@ -1,4 +1,4 @@
-"""Check the engine keeper and its memory ledger against lost, late and repeated orders."""
+"""Check the engine reconciler and its memory ledger with lost, late and repeated orders."""
 
 import time
 
@@ -21,16 +21,16 @@
 from mimosaspur_state import keys
 from mimosaspur_state.placement import ReplicaState
 
-ORDERS = "POST /admin/orders"
+ORDERS_REQUEST = "POST /admin/orders"
 ARRIVAL_MARGIN_MS = 100
-IMPORT = "brought@1"
+IMPORT_ID = "brought@1"
 
 
-def names(text: str) -> list[str]:
+def split_names(text: str) -> list[str]:
     return sorted(name.strip() for name in text.split(",") if name.strip())
 
 
-def numbers(text: str) -> list[int]:
+def split_numbers(text: str) -> list[int]:
     return [int(number) for number in text.split(",")]
 
 
@@ -40,7 +40,9 @@
 
 @given("the engine {fencing} fencing tokens and has accelerators of {sizes} MB")
 def start_stand_ins(context: Context, fencing: str, sizes: str) -> None:
-    world = MemoryWorld(context, capacity_mb=numbers(sizes), checks_fencing=fencing == "checks")
+    world = MemoryWorld(
+        context, capacity_mb=split_numbers(sizes), checks_fencing=fencing == "checks"
+    )
     context.memory = world
     context.add_cleanup(world.close)
     world.start_api()
@@ -48,7 +50,7 @@
 
 
 @given("the keeper's longest order delay is {ms:d} ms")
-def set_delay(context: Context, ms: int) -> None:
+def set_max_order_delay(context: Context, ms: int) -> None:
     context.memory.max_order_delay_ms = ms
 
 
@@ -59,30 +61,30 @@
 
 
 @given("the engine holds an import of {mb:d} MB")
-def hold_import(context: Context, mb: int) -> None:
-    order = {"order_id": "import", "fencing": 0, "kind": "load", "id": IMPORT, "base": None}
+def load_import(context: Context, mb: int) -> None:
+    order = {"order_id": "import", "fencing": 0, "kind": "load", "id": IMPORT_ID, "base": None}
     order |= {"resident_kind": "import", "memory_mb": mb, "accelerators": [0]}
     call(context.memory.engine, "POST", "/admin/orders", order)
 
 
 @when("the engine's orders suffer {fault} of {ms:d} ms")
-def orders_suffer(context: Context, fault: str, ms: int) -> None:
+def add_order_fault(context: Context, fault: str, ms: int) -> None:
     context.memory.fault_delay_ms = ms
-    add_fault(context.memory.engine, fault, match=ORDERS, count=UNTIL_CLEARED, delay_ms=ms)
+    add_fault(context.memory.engine, fault, match=ORDERS_REQUEST, count=UNTIL_CLEARED, delay_ms=ms)
 
 
 @when("the engine's next order suffers {fault} of {ms:d} ms")
-def next_order_suffers(context: Context, fault: str, ms: int) -> None:
+def add_fault_to_next_order(context: Context, fault: str, ms: int) -> None:
     context.memory.fault_delay_ms = ms
-    add_fault(context.memory.engine, fault, match=ORDERS, count=1, delay_ms=ms)
+    add_fault(context.memory.engine, fault, match=ORDERS_REQUEST, count=1, delay_ms=ms)
 
 
 @when("the engine's orders have suffered it")
-def orders_suffered(context: Context) -> None:
+def wait_for_affected_order(context: Context) -> None:
     address = context.memory.engine
     wait_for(
         lambda: any(it["struck"] for it in call(address, "GET", "/faults")["faults"]),
-        "an order is struck by the fault",
+        "the fault affects an order",
     )
     context.memory.fault_applied_at_ms = now_ms()
 
@@ -92,30 +94,30 @@
     world: MemoryWorld = context.memory
     for model in list(world.models.values()):
         sizes = [adapter.memory_mb for adapter in model.adapters]
-        world.add_model(model.resident(), model.memory_mb, sizes, changed=version)
+        world.add_model(model.resident(), model.memory_mb, sizes, adapter_version=version)
 
 
 @then('the engine had "{first}" ready before it unloaded "{second}"')
-def ready_before(context: Context, first: str, second: str) -> None:
+def check_ready_before_unload(context: Context, first: str, second: str) -> None:
     world: MemoryWorld = context.memory
     at_ms = {(order["kind"], order["id"]): order["at_ms"] for order in world.engine_log()["orders"]}
     gap_ms = at_ms["unload", second] - at_ms["load", first]
-    assert gap_ms >= world.load_ms, f"the unload came {gap_ms} ms after the load's order"
+    assert gap_ms >= world.load_ms, f"the unload came {gap_ms} ms after the load order"
 
 
 @when("the engine's orders suffer nothing")
-def orders_suffer_nothing(context: Context) -> None:
+def clear_order_faults(context: Context) -> None:
     call(context.memory.engine, "DELETE", "/faults")
-    # The last order that a fault struck came before this.
+    # The fault affects no order after this.
     context.memory.fault_applied_at_ms = now_ms()
 
 
 @then("the engine's late order has arrived")
-def late_order_arrived(context: Context) -> None:
+def wait_for_late_order(context: Context) -> None:
     arrived_ms = (
         context.memory.fault_applied_at_ms + context.memory.fault_delay_ms + ARRIVAL_MARGIN_MS
     )
-    wait_for(lambda: now_ms() > arrived_ms, "the late order's time is over")
+    wait_for(lambda: now_ms() > arrived_ms, "the late order arrives")
 
 
 @step('the keeper\'s target is to load "{resident}" of {mb:d} MB')
@@ -130,33 +132,33 @@
 
 @step('the keeper\'s target is to load "{resident}" of {mb:d} MB with adapters of {sizes} MB')
 def load_with_adapters(context: Context, resident: str, mb: int, sizes: str) -> None:
-    context.memory.add_model(resident, mb, numbers(sizes) if sizes else [])
+    context.memory.add_model(resident, mb, split_numbers(sizes) if sizes else [])
     context.memory.write_replica(resident, ReplicaState.LOAD)
 
 
 @step('the keeper\'s target is to load "{resident}" of {mb:d} MB instead')
-def load_instead(context: Context, resident: str, mb: int) -> None:
+def replace_model(context: Context, resident: str, mb: int) -> None:
     world: MemoryWorld = context.memory
-    former = list(world.models)
+    previous = list(world.models)
     world.models.clear()
     world.add_model(resident, mb, [])
-    for name in former:
-        kept = [item for item in world.read_record(name).replicas if item.target == TARGET]
-        for replica in kept:
+    for name in previous:
+        own_replicas = [item for item in world.read_record(name).replicas if item.target == TARGET]
+        for replica in own_replicas:
             world.write_record(world.read_record(name).without(TARGET, replica.version))
     world.write_replica(resident, ReplicaState.LOAD)
 
 
 @when("the keeper starts")
-def start_keeper(context: Context) -> None:
+def start_reconciler(context: Context) -> None:
     world: MemoryWorld = context.memory
     world.start_reconciler()
     sender = world.reconciler.sender
-    wait_for(lambda: sender.token > 0, "the keeper takes a fencing token")
+    wait_for(lambda: sender.token > 0, "the reconciler acquires a fencing token")
     if world.checks_fencing:
         wait_for(
             lambda: call(world.engine, "GET", "/admin/state")["fencing"] >= sender.token,
-            "the keeper fences its predecessor off",
+            "the reconciler fences its predecessor off",
         )
 
 
@@ -166,12 +168,12 @@
 
 
 @when("the keeper is killed")
-def kill_keeper(context: Context) -> None:
+def kill_reconciler(context: Context) -> None:
     context.memory.reconcilers[-1].kill()
 
 
 @when("the keeper has paused for {ms:d} ms")
-def pause_keeper(context: Context, ms: int) -> None:
+def pause_reconciler(context: Context, ms: int) -> None:
     context.memory.clock.paused_ms += ms
 
 
@@ -181,12 +183,12 @@
 
 
 @when("the keeper goes on")
-def go_on(context: Context) -> None:
+def check_running(context: Context) -> None:
     assert not context.memory.reconcilers[-1].stop.is_set()
 
 
 @when('the engine is loading "{resident}"')
-def engine_loads(context: Context, resident: str) -> None:
+def wait_for_loading(context: Context, resident: str) -> None:
     world: MemoryWorld = context.memory
     wait_for(lambda: world.residents().get(resident) == "loading", f"{resident} is loading")
 
@@ -198,7 +200,7 @@
 
 
 @then('the keeper makes "{resident}" ready')
-def made_ready(context: Context, resident: str) -> None:
+def check_ready(context: Context, resident: str) -> None:
     world: MemoryWorld = context.memory
     wait_for(lambda: world.replica_state(resident) is ReplicaState.READY, f"{resident} is READY")
     world.ready_revision = world.store.list(keys.placements(REGION)).revision
@@ -207,71 +209,71 @@
 
 @then('the engine has only "{wanted}" resident')
 @then('the engine has only "" resident')
-def only_resident(context: Context, wanted: str = "") -> None:
+def check_only_residents(context: Context, wanted: str = "") -> None:
     world: MemoryWorld = context.memory
-    ready = dict.fromkeys(names(wanted), "ready")
+    ready = dict.fromkeys(split_names(wanted), "ready")
     wait_for(lambda: world.residents() == ready, f"only {wanted!r} is resident")
 
 
 @then('the engine has "{wanted}" resident for {ms:d} ms')
 @then('the engine has "" resident for {ms:d} ms')
-def stays_resident(context: Context, ms: int, wanted: str = "") -> None:
+def check_stays_resident(context: Context, ms: int, wanted: str = "") -> None:
     world: MemoryWorld = context.memory
-    ready = dict.fromkeys(names(wanted), "ready")
+    ready = dict.fromkeys(split_names(wanted), "ready")
     assert_holds(lambda: world.residents() == ready, ms, f"{wanted} did not stay resident")
 
 
 @then("the engine loaded {count:d} times")
-def load_count(context: Context, count: int) -> None:
+def check_load_count(context: Context, count: int) -> None:
     assert context.memory.engine_log()["loads"] == count, context.memory.engine_log()
 
 
 @then("the engine was never overcommitted")
-def never_overcommitted(context: Context) -> None:
+def check_never_overcommitted(context: Context) -> None:
     context.memory.check_memory()
 
 
 @then("the keeper reports {mb:d} MB free on accelerator {index:d}")
-def reports_free(context: Context, mb: int, index: int) -> None:
-    keeper = context.memory.reconciler
+def check_free_memory(context: Context, mb: int, index: int) -> None:
+    reconciler = context.memory.reconciler
     wait_for(
-        lambda: keeper.free_mb()[index : index + 1] == (mb,),
+        lambda: reconciler.free_mb()[index : index + 1] == (mb,),
         f"{mb} MB free on accelerator {index}",
     )
 
 
 @then('the keeper reports "{model}" with {mb:d} MB on accelerator {index:d}')
-def reports_layout(context: Context, model: str, mb: int, index: int) -> None:
-    keeper = context.memory.reconciler
+def check_layout(context: Context, model: str, mb: int, index: int) -> None:
+    reconciler = context.memory.reconciler
     wait_for(
-        lambda: (keeper.layout(), keeper.held_mb()) == ({model: (index,)}, {model: mb}),
+        lambda: (reconciler.layout(), reconciler.held_mb()) == ({model: (index,)}, {model: mb}),
         f"{model} with {mb} MB on accelerator {index}",
     )
 
 
 @when('the keeper\'s serving side has {count:d} request on "{resident}"')
 @when('the keeper\'s serving side has {count:d} requests on "{resident}"')
-def set_requests(context: Context, count: int, resident: str) -> None:
+def set_request_count(context: Context, count: int, resident: str) -> None:
     context.memory.serving.requests[resident] = count
 
 
 @then('the keeper has "{wanted}" usable for {ms:d} ms')
 @then('the keeper has "" usable for {ms:d} ms')
-def stays_usable(context: Context, ms: int, wanted: str = "") -> None:
-    keeper = context.memory.reconciler
-    expected = tuple(names(wanted))
-    wait_for(lambda: keeper.ready_residents() == expected, f"{wanted!r} is usable")
+def check_stays_usable(context: Context, ms: int, wanted: str = "") -> None:
+    reconciler = context.memory.reconciler
+    expected = tuple(split_names(wanted))
+    wait_for(lambda: reconciler.ready_residents() == expected, f"{wanted!r} is usable")
     assert_holds(
-        lambda: keeper.ready_residents() == expected, ms, f"{wanted!r} did not stay usable"
+        lambda: reconciler.ready_residents() == expected, ms, f"{wanted!r} did not stay usable"
     )
 
 
 @then("the keeper before it gives no more orders")
-def fenced_out(context: Context) -> None:
-    former = context.memory.reconcilers[0].reconciler
-    wait_for(lambda: former.sender.fenced_out, "the former keeper stops its orders")
+def check_fenced_out(context: Context) -> None:
+    previous = context.memory.reconcilers[0].reconciler
+    wait_for(lambda: previous.sender.fenced_out, "the previous reconciler stops sending orders")
 
 
 @then("the keeper's ledger agrees with a naive replay of {count:d} random histories")
-def ledger_agrees(context: Context, count: int) -> None:
+def check_ledger(context: Context, count: int) -> None:
     check_histories(count)
--- a/features/steps/replace_steps.py
+++ b/features/steps/replace_steps.py
@@ -1,4 +1,4 @@
-"""Steps of instances that are replaced."""
+"""Steps for the replacement of instances."""
 
 import time
 from http.client import HTTPConnection
@@ -22,11 +22,11 @@
 
 LONG_TOKENS = 1000
 SHORT_DEADLINE_MS = 700
-OK = 200
-GATEWAY_TIMEOUT = 504
-AT_ONCE = 4
+HTTP_OK = 200
+HTTP_GATEWAY_TIMEOUT = 504
+CONCURRENT_CALLS = 4
 LONG_WATCH_MS = 20_000
-RESTING_MS = 500
+IDLE_TIMEOUT_MS = 500
 ENGINES = ("model-0", "model-1", "model-2")
 
 
@@ -42,7 +42,7 @@
 
 
 @given('requests for "{name}" run through "{entry}" alone')
-def run_through_one(context: Context, name: str, entry: str) -> None:
+def run_through_one_entry(context: Context, name: str, entry: str) -> None:
     context.traffic = [Traffic(context.site.daemons[entry].public, name).start()]
 
 
@@ -53,7 +53,7 @@
     kept = HTTPConnection(host, int(port), timeout=CALL_S)
     kept.request("GET", "/healthz")
     assert kept.getresponse().read()
-    # The entry closes the kept connection first, which then lingers at its address.
+    # The entry closes first, which leaves its address in TIME_WAIT.
     site.terminate(name)
     assert site.daemons[name].started.process.wait(20) == 0
     site.restart(name)
@@ -66,34 +66,34 @@
 
 
 @then("no engine was given an order for the replacement")
-def check_orders(context: Context) -> None:
+def check_no_orders(context: Context) -> None:
     site: Site = context.site
     for engine in ENGINES:
         orders = [order["kind"] for order in site.engine_log(engine)["orders"]]
-        moves = [kind for kind in orders[context.orders[engine] :] if kind != "fence"]
-        assert not moves, (engine, moves)
+        changes = [kind for kind in orders[context.orders[engine] :] if kind != "fence"]
+        assert not changes, (engine, changes)
 
 
 @then('"{name}" runs new work for "{service}"')
-def check_runs(context: Context, name: str, service: str) -> None:
+def check_runs_new_work(context: Context, name: str, service: str) -> None:
     site: Site = context.site
-    # The platform shows it as staying again.
+    # The platform no longer lists the instance as leaving.
     site.list_instance(site.daemons[name])
     address = site.daemons["entry-0"].public
     before = len(site.service_log(name)["runs"])
 
     def runs() -> bool:
-        # One at a time would all go to the target of the entry's own failure domain.
-        together = [service_call(address, service, "again") for _ in range(AT_ONCE)]
-        replies = [sent.wait() for sent in together]
-        assert all(reply.status == OK for reply in replies), [reply.body for reply in replies]
+        # Sequential calls would all go to the target in the entry's failure domain.
+        calls = [service_call(address, service, "again") for _ in range(CONCURRENT_CALLS)]
+        replies = [sent.wait() for sent in calls]
+        assert all(reply.status == HTTP_OK for reply in replies), [reply.body for reply in replies]
         return len(site.service_log(name)["runs"]) > before
 
     wait_for(runs, f"{name} runs {service}")
 
 
 @when('a caller gives "{name}" less time than its answer takes')
-def ask_in_no_time(context: Context, name: str) -> None:
+def call_with_short_deadline(context: Context, name: str) -> None:
     address = context.site.daemons["entry-0"].public
     headers = {"X-Deadline-Ms": str(SHORT_DEADLINE_MS)}
     call = chat_call(address, name, "x", max_tokens=LONG_TOKENS, headers=headers)
@@ -103,35 +103,35 @@
 @then("the caller is told that the deadline passed")
 def check_deadline(context: Context) -> None:
     reply = context.reply
-    assert reply.status == GATEWAY_TIMEOUT, (reply.status, reply.body)
+    assert reply.status == HTTP_GATEWAY_TIMEOUT, (reply.status, reply.body)
     error = reply.error()
     assert error["code"] == ResultCode.DEADLINE_PASSED, error
     assert error["outcome"] == "unknown", error
 
 
 @given("an entry that closes connections that rest")
-def start_resting_entry(context: Context) -> None:
+def start_entry_with_idle_timeout(context: Context) -> None:
     site: Site = context.site
-    site.entry("entry-2", peer_idle_ms=RESTING_MS)
+    site.entry("entry-2", peer_idle_ms=IDLE_TIMEOUT_MS)
     site.await_served("entry-2", "notes", "dispatch")
 
 
 @when('the model "{name}" is rolled in while its connections rest')
-def roll_in(context: Context, name: str) -> None:
+def roll_out_model(context: Context, name: str) -> None:
     site: Site = context.site
     closed = site.daemons["entry-2"].started
 
-    def rested() -> bool:
+    def closed_as_idle() -> bool:
         return "the connection rests" in closed.error_text()
 
-    wait_for(rested, "a connection is closed for rest")
+    wait_for(closed_as_idle, "a connection is closed as idle")
     models = [model("notes", replicas=2), model("dispatch"), model(name, replicas=3)]
     site.roll("second", models)
     wait_for(lambda: list(site.replicas(name).values()).count("ready") == 3, f"{name} is ready")
 
 
 @then('every target\'s entry serves "{name}"')
-def check_extra(context: Context, name: str) -> None:
+def check_served_by_every_target(context: Context, name: str) -> None:
     site: Site = context.site
     for _ in ENGINES:
         reply = chat_call(site.daemons["entry-2"].public, name, "x").wait()
@@ -154,12 +154,12 @@
 
 @then("it has ended within {seconds:d} s")
 def check_ended(context: Context, seconds: int) -> None:
-    left = context.stopped_at + seconds - time.monotonic()
-    assert context.site.daemons["entry-2"].started.process.wait(left) == 0
+    remaining_s = context.stopped_at + seconds - time.monotonic()
+    assert context.site.daemons["entry-2"].started.process.wait(remaining_s) == 0
 
 
 @given("a planner that forgets instances after {seconds:d} s")
-def start_forgetting_planner(context: Context, seconds: int) -> None:
+def start_planner_with_short_expiry(context: Context, seconds: int) -> None:
     site: Site = context.site
     planner = {**QUICK_PLANNER, "forget_ms": seconds * 1000}
     site.entry("entry-2", settings={"planner": planner})
@@ -168,14 +168,14 @@
 
 
 @when('the process beside the target of "{name}" is killed for good')
-def kill_for_good(context: Context, name: str) -> None:
+def kill_permanently(context: Context, name: str) -> None:
     site: Site = context.site
     context.gone = next(iter(site.replicas(name))).split()[0]
     site.kill(context.gone)
 
 
 @then("its status is deleted and the others' are kept")
-def check_forgotten(context: Context) -> None:
+def check_status_deleted(context: Context) -> None:
     store = context.site.store()
     wait_for(lambda: store.get(keys.status(REGION, context.gone)) is None, "the status is deleted")
     kept = {item.value["instance"] for item in store.list(keys.statuses(REGION)).objects}
--- a/packages/daemon/src/mimosaspur_daemon/serving.py
+++ b/packages/daemon/src/mimosaspur_daemon/serving.py
@@ -171,9 +171,7 @@
             if self.draining:
                 raise MimosaspurError(ResultCode.DRAINING)
             if resident in self.closed_residents or resident not in self.residents():
-                raise MimosaspurError(
-                    ResultCode.NOT_READY_HERE, f"The target does not serve {resident}."
-                )
+                raise MimosaspurError(ResultCode.NOT_READY_HERE, f"No {resident} here.")
             self.in_flight[resident] += 1
 
     def _release_resident(self, resident: str) -> None:
