--- a/features/harness/drain_world.py
+++ b/features/harness/drain_world.py
@@ -57,7 +57,7 @@
             succeeded = reply.status == 200 and reply.json()["echo"] == content
         else:
             reply = chat_call(self.address, self.name, content, max_tokens=MAX_TOKENS).wait()
-            succeeded = reply.whole() and self._record_version(reply, content)
+            succeeded = reply.is_complete() and self._record_version(reply, content)
         if not succeeded:
             self.failures.append((reply.status, reply.body, reply.broken))
 
@@ -84,7 +84,7 @@
 
 def service_targets(site: Site, service: str) -> set[str]:
     """Return the targets in the record of a service."""
-    found = site.store().get(keys.carrier(REGION, service))
+    found = site.store().get(keys.service_registration(REGION, service))
     return {replica["target"] for replica in found.value["replicas"]} if found else set()
 
 
--- a/features/harness/memory_replay.py
+++ b/features/harness/memory_replay.py
@@ -101,7 +101,7 @@
 
 def replay(data: strategies.DataObject) -> None:
     """Apply random events to a ledger and compare its sums after each."""
-    ledger = MemoryLedger(longest_order_delay_ms=MAX_ORDER_DELAY_MS)
+    ledger = MemoryLedger(max_order_delay_ms=MAX_ORDER_DELAY_MS)
     history = History()
     now_ms = 1
     apply_report(ledger, history, EngineState("engine", 1, CAPACITY_MB), now_ms)
@@ -120,7 +120,7 @@
 ) -> None:
     """Apply a report to the ledger and the history."""
     history.reports.append((requested_at_ms, report))
-    ledger.settle(report, asked_at_ms=requested_at_ms)
+    ledger.apply_report(report, requested_at_ms=requested_at_ms)
 
 
 def send_order(
@@ -132,12 +132,12 @@
 ) -> None:
     """Reserve and send an order, or resend one that the ledger holds."""
     answered = data.draw(strategies.booleans())
-    held = [order for order in history.orders if order.order_id in ledger.held]
+    held = [order for order in history.orders if order.order_id in ledger.pending]
     resends: bool = data.draw(strategies.booleans())
     if held and resends:
         resent = held[data.draw(strategies.integers(0, len(held) - 1))]
         resent.sends.append((now_ms, answered))
-        ledger.sent(resent.order_id, at_ms=now_ms, answered=answered)
+        ledger.record_send(resent.order_id, at_ms=now_ms, answered=answered)
         return
     name = data.draw(strategies.sampled_from(RESIDENT_IDS))
     memory_mb = data.draw(strategies.integers(1, 600))
@@ -150,7 +150,7 @@
         return
     assert len(accelerators) == count
     assert set(accelerators) <= set(fitting), (accelerators, free, memory_mb)
-    ledger.sent(order_id, at_ms=now_ms, answered=answered)
+    ledger.record_send(order_id, at_ms=now_ms, answered=answered)
     history.orders.append(Order(order_id, name, memory_mb, accelerators, [(now_ms, answered)]))
 
 
--- a/features/steps/bundles_steps.py
+++ b/features/steps/bundles_steps.py
@@ -197,7 +197,7 @@
     address = site.daemons[entry].public
     reply = chat_call(address, "notes", "which", max_tokens=MAX_TOKENS).wait()
     for version in range(30):
-        if reply.whole() and reply.text() == expected_answer(
+        if reply.is_complete() and reply.text() == expected_answer(
             f"notes@{version}", "which", MAX_TOKENS
         ):
             return version
--- a/features/steps/drain_steps.py
+++ b/features/steps/drain_steps.py
@@ -224,7 +224,7 @@
 @then("the stream in flight ended whole")
 def check_stream(context: Context) -> None:
     reply = context.stream.wait()
-    assert reply.whole(), (reply.status, reply.broken, reply.body[-200:])
+    assert reply.is_complete(), (reply.status, reply.broken, reply.body[-200:])
     wanted = expected_answer(f"{context.stream_name}@1", "long", STREAM_TOKENS)
     assert reply.text() == wanted
 
--- a/features/steps/drain_stops_steps.py
+++ b/features/steps/drain_stops_steps.py
@@ -72,7 +72,7 @@
         return False
 
     wait_for(refused, "new connections refused")
-    assert not context.stream.reply.whole(), "the stream ended before the check"
+    assert not context.stream.reply.is_complete(), "the stream ended before the check"
     assert _status_on_kept_connection(context) == 503
 
 
--- a/features/steps/memory_steps.py
+++ b/features/steps/memory_steps.py
@@ -94,7 +94,7 @@
     world: MemoryWorld = context.memory
     for model in list(world.models.values()):
         sizes = [adapter.memory_mb for adapter in model.adapters]
-        world.add_model(model.resident(), model.memory_mb, sizes, adapter_version=version)
+        world.add_model(model.resident_id(), model.memory_mb, sizes, adapter_version=version)
 
 
 @then('the engine had "{first}" ready before it unloaded "{second}"')
--- a/features/steps/scale_steps.py
+++ b/features/steps/scale_steps.py
@@ -17,7 +17,7 @@
 from mimosaspur_coordination.recordcache import RecordCache
 from mimosaspur_coordination.targetdirectory import TargetDirectory
 from mimosaspur_daemon.engine_snapshot import SnapshotBuilder
-from mimosaspur_daemon.instancefollower import InstanceFollower
+from mimosaspur_daemon.instancelistpoller import InstanceListPoller
 from mimosaspur_state import keys
 from mimosaspur_state.bundle import BundleIndex
 from mimosaspur_state.bundle import bundle_from_value
@@ -131,7 +131,7 @@
     context.directory = TargetDirectory(context.mirror, region=REGION)
     context.listing = FakeInstanceList(size)
     settings = PlatformSettings(ADDRESS, ADDRESS, instance_list_ms=pause)
-    context.follower = InstanceFollower(
+    context.follower = InstanceListPoller(
         context.listing,
         context.directory,
         context.mirror,
@@ -139,7 +139,7 @@
         clock=SystemClock(),
         settings=settings,
     )
-    context.mirror.listeners.append(context.follower.follow_records)
+    context.mirror.listeners.append(context.follower.on_placement_change)
     context.stop = threading.Event()
     thread = threading.Thread(target=context.follower.run, args=(context.stop,), daemon=True)
     context.add_cleanup(context.stop.set)
--- a/packages/daemon/src/mimosaspur_daemon/engine_orders.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_orders.py
@@ -71,7 +71,7 @@
                 error=str(error),
             )
             return None
-        for lost in self.ledger.settle(report, asked_at_ms=asked_at_ms):
+        for lost in self.ledger.apply_report(report, requested_at_ms=asked_at_ms):
             log(
                 PART,
                 "Treating an order as lost: its longest delay has passed.",
@@ -83,7 +83,7 @@
 
     def is_report_fresh(self) -> bool:
         """Return whether the last report is recent enough to base orders on."""
-        return self.clock.now_ms() - self.ledger.asked_at_ms <= self.max_pause_ms
+        return self.clock.now_ms() - self.ledger.requested_at_ms <= self.max_pause_ms
 
     def fence(self) -> None:
         """Order the engine to refuse every order with an older token."""
@@ -119,7 +119,7 @@
         if self._is_backing_off(resident):
             return False
         order = EngineOrder(uuid.uuid4().hex, self.token, OrderKind.UNLOAD, resident)
-        self.ledger.hold_unload(order.order_id, resident, now_ms=self.clock.now_ms())
+        self.ledger.track_unload(order.order_id, resident, now_ms=self.clock.now_ms())
         self._send(order)
         return True
 
@@ -128,7 +128,7 @@
     ) -> tuple[int, ...] | None:
         now_ms = self.clock.now_ms()
         if step.base:
-            accelerators = self.ledger.accelerators(step.base)
+            accelerators = self.ledger.accelerators_of(step.base)
             return self.ledger.try_reserve_on(
                 order_id, step.resident, step.memory_mb, accelerators, now_ms=now_ms
             )
@@ -143,7 +143,7 @@
         )
 
     def _resend_unsettled(self, resident: str) -> bool:
-        held = self.ledger.unsettled(resident)
+        held = self.ledger.unreported_order(resident)
         if held is None or held.order_id not in self.orders:
             return False
         # The engine executes an order id only once, so resending it is safe and settles it.
@@ -178,14 +178,14 @@
             )
         except OrderFenced as error:
             self.fenced_out = True
-            self.ledger.refused(order.order_id)
+            self.ledger.release_refused(order.order_id)
             log(
                 PART,
                 "A newer process owns the engine; this one sends no more orders.",
-                newest=error.newest,
+                newest=error.newest_token,
             )
         except OrderRefused as error:
-            self.ledger.refused(order.order_id)
+            self.ledger.release_refused(order.order_id)
             self._back_off(order.id)
             log(
                 PART,
@@ -193,7 +193,7 @@
                 order=order.order_id,
                 error=str(error),
             )
-        self.ledger.sent(order.order_id, at_ms=self.clock.now_ms(), answered=answered)
+        self.ledger.record_send(order.order_id, at_ms=self.clock.now_ms(), answered=answered)
 
     def _record_outcomes(self, report: EngineState) -> None:
         for order_id, order in list(self.orders.items()):
@@ -206,7 +206,7 @@
                 self.finished_orders.add(order_id)
                 self._record_outcome(order, order_state)
             running = order_state is not None and order_state.state is OrderOutcome.RUNNING
-            if order_id not in self.ledger.held and not running:
+            if order_id not in self.ledger.pending and not running:
                 del self.orders[order_id]
                 self.finished_orders.discard(order_id)
 
--- a/packages/daemon/src/mimosaspur_daemon/engine_ownership.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_ownership.py
@@ -67,7 +67,7 @@
 
     def _is_order_delay_over(self) -> bool:
         # An engine that ignores tokens executes late orders, so their longest delay must pass.
-        waited_ms = self.sender.ledger.asked_at_ms - self.started_ms
+        waited_ms = self.sender.ledger.requested_at_ms - self.started_ms
         return waited_ms >= self.settings.longest_order_delay_ms
 
     def _verify_token(self) -> bool:
--- a/packages/daemon/src/mimosaspur_daemon/engine_reconciler.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_reconciler.py
@@ -71,7 +71,7 @@
         self.metrics = metrics
         self.serving = serving
         self.max_pause_ms = MAX_PAUSE_POLLS * self.target.poll_ms + PAUSE_MARGIN_MS
-        self.ledger = MemoryLedger(longest_order_delay_ms=self.target.longest_order_delay_ms)
+        self.ledger = MemoryLedger(max_order_delay_ms=self.target.longest_order_delay_ms)
         self.sender = OrderSender(engine, self.ledger, clock, max_pause_ms=self.max_pause_ms)
         self.ownership = EngineOwnership(
             store,
@@ -174,7 +174,7 @@
     def _mark_lost(self, snapshot: EngineSnapshot) -> None:
         for assignment in snapshot.assignments:
             lost = assignment.state is not ReplicaState.LOAD
-            if not lost or snapshot.report.ready(assignment.base_id()):
+            if not lost or snapshot.report.is_ready(assignment.base_id()):
                 continue
             log(
                 PART,
@@ -264,7 +264,7 @@
                 self.sender.unload(item.id)
 
     def _is_order_unsettled(self, name: str) -> bool:
-        return self.ledger.unsettled(name) is not None
+        return self.ledger.unreported_order(name) is not None
 
     def _close(self, name: str) -> None:
         self.closed_residents.add(name)
@@ -275,11 +275,11 @@
         self.serving.reopen(name)
 
     def _publish(self, report: EngineState) -> None:
-        ready = [item.id for item in report.residents if report.ready(item.id)]
+        ready = [item.id for item in report.residents if report.is_ready(item.id)]
         usable = tuple(sorted(set(ready) - self.closed_residents))
         self._free_mb = self.ledger.free_mb()
         self._capacity_mb = report.capacity_mb
-        ordered = self.ledger.ordered()
+        ordered = self.ledger.unreported_loads()
         self._layout = {**{it.resident: it.accelerators for it in ordered}, **report.layout()}
         self._held_mb = {**{it.resident: it.memory_mb for it in ordered}, **report.held_mb()}
         if usable == self._ready_residents:
--- a/packages/daemon/src/mimosaspur_daemon/engine_records.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_records.py
@@ -70,7 +70,7 @@
         record = placement_from_value(stored.value) if stored else PlacementRecord(model, 0)
         if stored:
             self.mirror.apply_update(stored)
-        if any(replica.version == version for replica in record.on(self.target)):
+        if any(replica.version == version for replica in record.on_target(self.target)):
             return False
         entry = snapshot.index.models.get(model)
         if entry is None or entry.version != version:
--- a/packages/daemon/src/mimosaspur_daemon/engine_snapshot.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_snapshot.py
@@ -90,7 +90,9 @@
     served = snapshot.index.served.get(adapter.id.rpartition("@")[0])
     if served is None or (adapter.base or "").startswith(f"{served.model.name}@"):
         return False
-    if any(assignment.base_id() == served.model.resident() for assignment in snapshot.assignments):
+    if any(
+        assignment.base_id() == served.model.resident_id() for assignment in snapshot.assignments
+    ):
         # The report of this engine already covers that model.
         return False
     records = [record for record in snapshot.records if record.model == served.model.name]
@@ -101,4 +103,4 @@
     except StoreUnavailable:
         return True
     reported = [TargetStatus.from_value(item.value).residents for item in statuses if item]
-    return not any(served.resident() in residents for residents in reported)
+    return not any(served.resident_id() in residents for residents in reported)
--- a/packages/daemon/src/mimosaspur_daemon/serving.py
+++ b/packages/daemon/src/mimosaspur_daemon/serving.py
@@ -197,7 +197,7 @@
             self.runner.run(attempt, deadline)
             attempt.finish()
             return
-        claim = self.claims.acquire(work, run_id(attempt), deadline.left_ms())
+        claim = self.claims.acquire(work, run_id(attempt), deadline.remaining_ms())
         if isinstance(claim, Claim):
             _replay(attempt, claim)
             return
@@ -227,7 +227,7 @@
         # The process may have been paused since the request was admitted.
         if attempt.cancelled.is_set():
             raise MimosaspurError(ResultCode.CANCELLED)
-        if deadline.passed():
+        if deadline.has_passed():
             raise MimosaspurError(ResultCode.DEADLINE_UNREACHABLE)
 
     def _fail(self, attempt: RunningAttempt, error: MimosaspurError) -> None:
--- a/packages/daemon/src/mimosaspur_daemon/targetrole.py
+++ b/packages/daemon/src/mimosaspur_daemon/targetrole.py
@@ -110,7 +110,7 @@
         region = self.settings.instance.region
         placement_prefix = keys.placements(region)
         if self.target.kind is TargetKind.SERVICE:
-            placement_prefix = keys.carrier(region, self.target.service)
+            placement_prefix = keys.service_registration(region, self.target.service)
         prefixes = (keys.HEAD, placement_prefix, keys.drain(self.settings.instance.name))
         return Mirror(
             self.store,
--- a/packages/daemon/src/mimosaspur_daemon/targetserver.py
+++ b/packages/daemon/src/mimosaspur_daemon/targetserver.py
@@ -11,7 +11,7 @@
 from mimosaspur_daemon.serving import Serving
 from mimosaspur_protocol.codec import ProtocolError
 from mimosaspur_protocol.messages import BundleOffer
-from mimosaspur_protocol.messages import BundleWanted
+from mimosaspur_protocol.messages import BundleRequest
 from mimosaspur_protocol.messages import Cancel
 from mimosaspur_protocol.messages import Draining
 from mimosaspur_protocol.messages import Generation
@@ -226,7 +226,7 @@
         self._request_newer_bundle(message.generation, connection)
 
     @_handle.register
-    def _(self, message: BundleWanted, connection: EntryConnection) -> None:
+    def _(self, message: BundleRequest, connection: EntryConnection) -> None:
         packed = self.holder.encode_current()
         if packed and packed[0] > message.have:
             connection.wire.send(BundleOffer(*packed))
@@ -251,7 +251,7 @@
 
     def _request_newer_bundle(self, entry_generation: int, connection: EntryConnection) -> None:
         if self.holder.should_request(entry_generation, self.clock.now_ms()):
-            connection.wire.send(BundleWanted(self.holder.generation()))
+            connection.wire.send(BundleRequest(self.holder.generation()))
 
 
 def _answer_dropped_error() -> MimosaspurError:
