--- a/packages/daemon/src/mimosaspur_daemon/direct/fleetreport.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/fleetreport.py
@@ -1,4 +1,4 @@
-"""Put together what the coordinator tells an entry of the fleet, and take it there."""
+"""Build the parts of the coordinator's report on the fleet, and apply it at an entry."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -15,7 +15,7 @@
 
 
 class _WorkTotal:
-    """Add up the work at one target."""
+    """Sum the work at one target."""
 
     __slots__ = ("held_tokens", "requests", "unread")
 
@@ -35,7 +35,7 @@
 def total_work(
     reports: Iterable[Mapping[str, TargetWork]], targets: Iterable[str]
 ) -> dict[str, TargetWork]:
-    """Sum up the entries' work by target; what has ended at a target is told as none."""
+    """Return the entries' work summed by target; targets without work get a sum of zero."""
     totals = {target: _WorkTotal() for target in targets}
     for work_at in reports:
         for target, work in work_at.items():
@@ -49,28 +49,29 @@
     }
 
 
-def residents_of(desk: EngineController) -> EngineResidents:
-    """Return what an engine holds, as entries are told it."""
-    if desk.lost():
-        return EngineResidents(desk.record.identity, {}, [])
-    models = {model: sorted(adapters) for model, adapters in desk.residents.items()}
-    return EngineResidents(desk.record.identity, models, sorted(desk.unloading))
+def residents_of(controller: EngineController) -> EngineResidents:
+    """Return what an engine holds, as a message to entries."""
+    if controller.lost():
+        return EngineResidents(controller.record.identity, {}, [])
+    models = {model: sorted(adapters) for model, adapters in controller.residents.items()}
+    return EngineResidents(controller.record.identity, models, sorted(controller.unloading))
 
 
 def pace_messages(paces: Mapping[str, Pace]) -> list[ModelPaceUpdate]:
-    """Return models' paces as they are told."""
+    """Return models' paces as messages."""
     return [ModelPaceUpdate(model, pace.factor, pace.measurements) for model, pace in paces.items()]
 
 
 def apply_report(state: EntryState, report: FleetReport) -> None:
-    """Take the coordinator's report into an entry's picture of the fleet."""
+    """Apply the coordinator's report to an entry's state of the fleet."""
     if report.sharer_count != state.retry_share.sharers:
         state.log.write("sharers", sharers=report.sharer_count, token=report.token)
     state.retry_share.renew(report.sharer_count)
     state.staying_entries = report.staying_count
     state.freshness.record_version(report.configuration_version)
     remaining = [
-        Remaining(told.workspace, told.remaining, told.demand_per_s) for told in report.quotas
+        Remaining(message.workspace, message.remaining, message.demand_per_s)
+        for message in report.quotas
     ]
     state.quotas.apply_update(remaining, entries=report.entry_count)
     state.quotas_received.set()
@@ -83,8 +84,8 @@
     for each in report.residents:
         models = {model: frozenset(adapters) for model, adapters in each.models.items()}
         state.fleet.set_residents(each.target, models, frozenset(each.unloading))
-    for told in report.paces:
-        state.fleet.paces.apply_shared(told.model, Pace(told.factor, told.measurements))
+    for message in report.paces:
+        state.fleet.paces.apply_shared(message.model, Pace(message.factor, message.measurements))
     state.model_ready_in_ms = report.model_ready_in_ms
     if report.work or report.residents or report.model_ready_in_ms:
         state.changes.notify()
