--- a/features/harness/drain_world.py
+++ b/features/harness/drain_world.py
@@ -84,7 +84,7 @@
 
 def carriers(site: Site, service: str) -> set[str]:
     """Return the targets that the record of a service names."""
-    found = site.store().get(keys.carrier(REGION, service))
+    found = site.store().get(keys.service_registration(REGION, service))
     return {replica["target"] for replica in found.value["replicas"]} if found else set()
 
 
--- a/features/harness/memory_replay.py
+++ b/features/harness/memory_replay.py
@@ -99,7 +99,7 @@
 
 def replay(data: strategies.DataObject) -> None:
     """Let random things happen to a ledger and compare its sums after each."""
-    ledger = MemoryLedger(longest_order_delay_ms=DELAY_MS)
+    ledger = MemoryLedger(max_order_delay_ms=DELAY_MS)
     history = History()
     now_ms = 1
     take_in(ledger, history, EngineState("engine", 1, CAPACITY_MB), now_ms)
@@ -116,7 +116,7 @@
 def take_in(ledger: MemoryLedger, history: History, report: EngineState, asked_ms: int) -> None:
     """Give a report to both."""
     history.reports.append((asked_ms, report))
-    ledger.settle(report, asked_at_ms=asked_ms)
+    ledger.apply_report(report, requested_at_ms=asked_ms)
 
 
 def send(
@@ -128,12 +128,12 @@
 ) -> None:
     """Reserve and send an order, or repeat one that is held."""
     answered = data.draw(strategies.booleans())
-    held = [order for order in history.orders if order.order_id in ledger.held]
+    held = [order for order in history.orders if order.order_id in ledger.pending]
     repeats: bool = data.draw(strategies.booleans())
     if held and repeats:
         again = held[data.draw(strategies.integers(0, len(held) - 1))]
         again.tries.append((now_ms, answered))
-        ledger.sent(again.order_id, at_ms=now_ms, answered=answered)
+        ledger.record_send(again.order_id, at_ms=now_ms, answered=answered)
         return
     name = data.draw(strategies.sampled_from(NAMES))
     memory_mb = data.draw(strategies.integers(1, 600))
@@ -146,7 +146,7 @@
         return
     assert len(place) == count
     assert set(place) <= set(fitting), (place, free, memory_mb)
-    ledger.sent(order_id, at_ms=now_ms, answered=answered)
+    ledger.record_send(order_id, at_ms=now_ms, answered=answered)
     history.orders.append(Order(order_id, name, memory_mb, place, [(now_ms, answered)]))
 
 
--- a/features/harness/memory_world.py
+++ b/features/harness/memory_world.py
@@ -241,7 +241,7 @@
     def state_here(self, resident: str) -> ReplicaState | None:
         """Return the state of this target's replica in the record."""
         name, _, version = resident.partition("@")
-        for replica in self.record(name).on(TARGET):
+        for replica in self.record(name).on_target(TARGET):
             if replica.version == version:
                 return replica.state
         return None
--- a/features/steps/memory_steps.py
+++ b/features/steps/memory_steps.py
@@ -92,7 +92,7 @@
     world: MemoryWorld = context.memory
     for model in list(world.models.values()):
         sizes = [adapter.memory_mb for adapter in model.adapters]
-        world.serve(model.resident(), model.memory_mb, sizes, changed=version)
+        world.serve(model.resident_id(), model.memory_mb, sizes, changed=version)
 
 
 @then('the engine had "{first}" ready before it unloaded "{second}"')
--- a/features/steps/reachability_records_steps.py
+++ b/features/steps/reachability_records_steps.py
@@ -66,7 +66,7 @@
     record = placement_from_value(context.site.store().get(keys.placement(REGION, "a")).value)
     assert sum(context.left.values()) == left, (context.left, record)
     assert bool(record.ready()) == bool(nobody), record
-    gone = {target for target in PAIR if not record.on(target)}
+    gone = {target for target in PAIR if not record.on_target(target)}
     assert gone == {target for target, out in context.left.items() if out}, (gone, context.left)
 
 
--- a/features/steps/scale_any_steps.py
+++ b/features/steps/scale_any_steps.py
@@ -146,7 +146,7 @@
             self.changes.record(what, how)
         elif kind == "carrier":
             value = PlacementRecord(what, 1, how).to_value()
-            self.changes.put(keys.carrier(REGION, what), value)
+            self.changes.put(keys.service_registration(REGION, what), value)
         elif kind == "list":
             self.former_hints.update(hints)
             listed = [
@@ -184,7 +184,7 @@
 
     def scan_service(self) -> list[Candidate]:
         """Go over all hints, as the directory did before it had an index."""
-        item = self.changes.mirror.get(keys.carrier(REGION, SERVICE))
+        item = self.changes.mirror.get(keys.service_registration(REGION, SERVICE))
         record = placement_from_value(item.value) if item else None
         carrying = {replica.target for replica in record.ready()} if record else set()
         resident = service_resident(SERVICE)
--- a/packages/daemon/src/mimosaspur_daemon/dispatcher.py
+++ b/packages/daemon/src/mimosaspur_daemon/dispatcher.py
@@ -33,7 +33,7 @@
 from mimosaspur_state.codes import ResultCode
 from mimosaspur_state.errors import MimosaspurError
 from mimosaspur_state.metrics import Metrics
-from mimosaspur_state.requests import Kind
+from mimosaspur_state.requests import RequestKind
 from mimosaspur_state.requests import Work
 from mimosaspur_transport.attempt import Attempt
 from mimosaspur_transport.attempt import Event
@@ -122,7 +122,7 @@
 
     def _model_of(self, work: Work) -> str:
         index = self._index()
-        if work.kind is Kind.SERVICE:
+        if work.kind is RequestKind.SERVICE:
             if work.name not in index.services:
                 raise MimosaspurError(ResultCode.UNKNOWN_SERVICE, f"It is {work.name!r}.")
             return work.name
@@ -132,7 +132,7 @@
         return served.model.name
 
     def _candidates(self, index: BundleIndex, work: Work) -> list[Candidate]:
-        if work.kind is Kind.SERVICE:
+        if work.kind is RequestKind.SERVICE:
             return self.directory.for_service(work.name)
         served = index.served.get(work.name)
         if served is None:
@@ -171,9 +171,9 @@
         Few may wait at once, so that an unreachable model can't take the places of others.
         """
         if journey.wait_end is None:
-            wait_ms = min(self.wait_ready_ms, journey.deadline.left_ms() // 2)
+            wait_ms = min(self.wait_ready_ms, journey.deadline.remaining_ms() // 2)
             journey.wait_end = Deadline(self.clock, wait_ms)
-        if journey.wait_end.passed() or not journey.may_wait():
+        if journey.wait_end.has_passed() or not journey.may_wait():
             raise refused(journey)
         if not self.waiters.acquire(blocking=False):
             raise refused(journey)
@@ -189,7 +189,7 @@
         self, journey: Journey, index: BundleIndex, candidate: Candidate, link: TargetLink
     ) -> Attempt | None:
         journey.attempts += 1
-        left_ms = journey.deadline.left_ms()
+        left_ms = journey.deadline.remaining_ms()
         if left_ms == 0:
             raise refused(journey, ResultCode.DEADLINE_UNREACHABLE)
         journey.generation = index.generation
@@ -241,7 +241,7 @@
         """Tell whether a target refused only the older version that was asked of it."""
         index = self.holder.current()
         served = index.served.get(journey.work.name) if index else None
-        older = served is not None and served.resident() != candidate.resident
+        older = served is not None and served.resident_id() != candidate.resident
         return older and refusal.code is ResultCode.NOT_READY_HERE
 
     def _check_retry(self, journey: Journey) -> None:
@@ -261,7 +261,7 @@
     def _check_patience(self, journey: Journey) -> None:
         if journey.gone():
             raise MimosaspurError(ResultCode.CANCELLED, outcome=Outcome.UNKNOWN)
-        if journey.deadline.passed():
+        if journey.deadline.has_passed():
             raise MimosaspurError(ResultCode.DEADLINE_PASSED, outcome=Outcome.UNKNOWN)
 
     def _chunks(self, journey: Journey, attempt: Attempt, link: TargetLink) -> Iterator[bytes]:
--- a/packages/daemon/src/mimosaspur_daemon/engine_authority.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_authority.py
@@ -67,7 +67,7 @@
 
     def _hold_passed(self) -> bool:
         # An engine that ignores tokens obeys late orders, so only waiting them out is safe.
-        waited_ms = self.sender.ledger.asked_at_ms - self.started_ms
+        waited_ms = self.sender.ledger.requested_at_ms - self.started_ms
         return waited_ms >= self.settings.longest_order_delay_ms
 
     def _still_ours(self) -> bool:
--- a/packages/daemon/src/mimosaspur_daemon/engine_keeper.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_keeper.py
@@ -70,7 +70,7 @@
         self.metrics = metrics
         self.serving = serving
         self.longest_pause_ms = PAUSE_POLLS * self.target.poll_ms + PAUSE_EXTRA_MS
-        self.ledger = MemoryLedger(longest_order_delay_ms=self.target.longest_order_delay_ms)
+        self.ledger = MemoryLedger(max_order_delay_ms=self.target.longest_order_delay_ms)
         self.sender = OrderSender(
             engine, self.ledger, clock, longest_pause_ms=self.longest_pause_ms
         )
@@ -171,7 +171,7 @@
     def _mark_lost(self, situation: Situation) -> None:
         for held in situation.assignments:
             lost = held.state is not ReplicaState.LOAD
-            if not lost or situation.report.ready(held.base_id()):
+            if not lost or situation.report.is_ready(held.base_id()):
                 continue
             log(PART, "The engine lost a replica.", resident=held.base_id())
             self.records.change(replicas.mark_lost, held)
@@ -244,7 +244,7 @@
                 self.sender.unload(item.id)
 
     def _unload_pending(self, name: str) -> bool:
-        return self.ledger.unsettled(name) is not None
+        return self.ledger.unreported_order(name) is not None
 
     def _close(self, name: str) -> None:
         self.closed.add(name)
@@ -255,11 +255,11 @@
         self.serving.reopen(name)
 
     def _publish(self, report: EngineState) -> None:
-        ready = [item.id for item in report.residents if report.ready(item.id)]
+        ready = [item.id for item in report.residents if report.is_ready(item.id)]
         usable = tuple(sorted(set(ready) - self.closed))
         self._free_mb = self.ledger.free_mb()
         self._capacity_mb = report.capacity_mb
-        ordered = self.ledger.ordered()
+        ordered = self.ledger.unreported_loads()
         self._layout = {**{it.resident: it.accelerators for it in ordered}, **report.layout()}
         self._held_mb = {**{it.resident: it.memory_mb for it in ordered}, **report.held_mb()}
         if usable == self._ready:
--- a/packages/daemon/src/mimosaspur_daemon/engine_orders.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_orders.py
@@ -67,14 +67,14 @@
         except EngineUnavailable as error:
             log(PART, "The engine did not report.", error=str(error))
             return None
-        for lost in self.ledger.settle(report, asked_at_ms=asked_at_ms):
+        for lost in self.ledger.apply_report(report, requested_at_ms=asked_at_ms):
             log(PART, "Gave an order up as lost.", order=lost.order_id, resident=lost.resident)
         self._note_outcomes(report)
         return report
 
     def fresh(self) -> bool:
         """Tell whether the last report is young enough to order by; a pause makes it old."""
-        return self.clock.now_ms() - self.ledger.asked_at_ms <= self.longest_pause_ms
+        return self.clock.now_ms() - self.ledger.requested_at_ms <= self.longest_pause_ms
 
     def fence(self) -> None:
         """Have the engine refuse every order with an older token."""
@@ -110,7 +110,7 @@
         if self._must_wait(resident):
             return False
         order = EngineOrder(uuid.uuid4().hex, self.token, OrderKind.UNLOAD, resident)
-        self.ledger.hold_unload(order.order_id, resident, now_ms=self.clock.now_ms())
+        self.ledger.track_unload(order.order_id, resident, now_ms=self.clock.now_ms())
         self._send(order)
         return True
 
@@ -119,7 +119,7 @@
     ) -> tuple[int, ...] | None:
         now_ms = self.clock.now_ms()
         if step.base:
-            place = self.ledger.accelerators(step.base)
+            place = self.ledger.accelerators_of(step.base)
             return self.ledger.try_reserve_on(
                 order_id, step.resident, step.memory_mb, place, now_ms=now_ms
             )
@@ -134,7 +134,7 @@
         )
 
     def _repeated(self, resident: str) -> bool:
-        held = self.ledger.unsettled(resident)
+        held = self.ledger.unreported_order(resident)
         if held is None or held.order_id not in self.orders:
             return False
         # The same order is never done twice, so repeating it settles its outcome.
@@ -164,13 +164,17 @@
             log(PART, "An order's outcome is unknown.", order=order.order_id, error=str(error))
         except OrderFenced as error:
             self.fenced_out = True
-            self.ledger.refused(order.order_id)
-            log(PART, "A successor owns the engine; giving no more orders.", newest=error.newest)
+            self.ledger.release_refused(order.order_id)
+            log(
+                PART,
+                "A successor owns the engine; giving no more orders.",
+                newest=error.newest_token,
+            )
         except OrderRefused as error:
-            self.ledger.refused(order.order_id)
+            self.ledger.release_refused(order.order_id)
             self._pause(order.id)
             log(PART, "The engine refused an order.", order=order.order_id, error=str(error))
-        self.ledger.sent(order.order_id, at_ms=self.clock.now_ms(), answered=answered)
+        self.ledger.record_send(order.order_id, at_ms=self.clock.now_ms(), answered=answered)
 
     def _note_outcomes(self, report: EngineState) -> None:
         for order_id, order in list(self.orders.items()):
@@ -179,7 +183,7 @@
                 self.ended.add(order_id)
                 self._note_end(order, known)
             running = known is not None and known.state is OrderOutcome.RUNNING
-            if order_id not in self.ledger.held and not running:
+            if order_id not in self.ledger.pending and not running:
                 del self.orders[order_id]
                 self.ended.discard(order_id)
 
--- a/packages/daemon/src/mimosaspur_daemon/engine_records.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_records.py
@@ -58,7 +58,7 @@
         record = placement_from_value(found.value) if found else PlacementRecord(model, 0)
         if found:
             self.mirror.apply_update(found)
-        if any(replica.version == version for replica in record.on(self.target)):
+        if any(replica.version == version for replica in record.on_target(self.target)):
             return False
         entry = situation.index.models.get(model)
         if entry is None or entry.version != version:
--- a/packages/daemon/src/mimosaspur_daemon/engine_situation.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_situation.py
@@ -79,7 +79,7 @@
     served = situation.index.served.get(adapter.id.rpartition("@")[0])
     if served is None or (adapter.base or "").startswith(f"{served.model.name}@"):
         return False
-    if any(held.base_id() == served.model.resident() for held in situation.assignments):
+    if any(held.base_id() == served.model.resident_id() for held in situation.assignments):
         # Decided by our engine's own report already.
         return False
     found = [record for record in situation.records if record.model == served.model.name]
@@ -90,4 +90,4 @@
     except StoreUnavailable:
         return True
     told = [TargetStatus.from_value(item.value).residents for item in statuses if item]
-    return not any(served.resident() in residents for residents in told)
+    return not any(served.resident_id() in residents for residents in told)
--- a/packages/daemon/src/mimosaspur_daemon/entryrole.py
+++ b/packages/daemon/src/mimosaspur_daemon/entryrole.py
@@ -42,7 +42,12 @@
         self.metrics = Metrics(settings.statsd, instance=settings.instance.name)
         self.holder = BundleHolder()
         region = settings.instance.region
-        prefixes = (keys.HEAD, keys.placements(region), keys.carriers(region), keys.DRAINS)
+        prefixes = (
+            keys.HEAD,
+            keys.placements(region),
+            keys.service_registrations(region),
+            keys.DRAINS,
+        )
         self.mirror = Mirror(
             self.store,
             prefixes,
--- a/packages/daemon/src/mimosaspur_daemon/planner_watch.py
+++ b/packages/daemon/src/mimosaspur_daemon/planner_watch.py
@@ -73,7 +73,7 @@
 
     def view(self, index: BundleIndex, now_ms: int) -> PlannerView:
         """Return this moment's view."""
-        self.former.update({entry.resident(): entry for entry in index.models.values()})
+        self.former.update({entry.resident_id(): entry for entry in index.models.values()})
         placed = self._placed()
         self._note_changes(placed, now_ms)
         self._note_loads(placed, now_ms)
--- a/packages/daemon/src/mimosaspur_daemon/runners.py
+++ b/packages/daemon/src/mimosaspur_daemon/runners.py
@@ -6,8 +6,8 @@
 from mimosaspur_daemon.attempts import RunningAttempt
 from mimosaspur_daemon.serving import run_id
 from mimosaspur_protocol.sse import DONE_EVENT
+from mimosaspur_protocol.sse import CompletionBuilder
 from mimosaspur_protocol.sse import EngineEvent
-from mimosaspur_protocol.sse import WholeAnswer
 from mimosaspur_protocol.sse import event_for_caller
 from mimosaspur_state.clock import Clock
 from mimosaspur_state.clock import Deadline
@@ -68,7 +68,7 @@
         for event in events:
             if attempt.cancelled.is_set():
                 raise self._give_up(attempt, ResultCode.CANCELLED)
-            if bounded and deadline.passed():
+            if bounded and deadline.has_passed():
                 raise self._give_up(attempt, ResultCode.DEADLINE_PASSED)
             yield event
 
@@ -86,7 +86,7 @@
     def run(self, attempt: RunningAttempt, deadline: Deadline) -> None:
         """Run a call and write its answer."""
         work = attempt.submit.work
-        answer = self.service.call(work, work.request_id, deadline.left_ms())
+        answer = self.service.call(work, work.request_id, deadline.remaining_ms())
         attempt.start(answer.status, answer.content_type)
         attempt.add(answer.body)
 
@@ -113,8 +113,8 @@
 
 
 def _write_whole(attempt: RunningAttempt, events: Iterator[EngineEvent], name: str) -> None:
-    whole = WholeAnswer()
+    whole = CompletionBuilder()
     for event in events:
-        whole.add(event.data)
+        whole.add_chunk(event.data)
     attempt.start(OK, JSON)
     attempt.add(whole.body(name))
--- a/packages/daemon/src/mimosaspur_daemon/serving.py
+++ b/packages/daemon/src/mimosaspur_daemon/serving.py
@@ -185,7 +185,7 @@
             self.runner.run(attempt, deadline)
             attempt.end()
             return
-        held = self.claims.acquire(work, run_id(attempt), deadline.left_ms())
+        held = self.claims.acquire(work, run_id(attempt), deadline.remaining_ms())
         if isinstance(held, Claim):
             _replay(attempt, held)
             return
@@ -215,7 +215,7 @@
         # The process may have been paused since the request was admitted.
         if attempt.cancelled.is_set():
             raise MimosaspurError(ResultCode.CANCELLED)
-        if deadline.passed():
+        if deadline.has_passed():
             raise MimosaspurError(ResultCode.DEADLINE_UNREACHABLE)
 
     def _fail(self, attempt: RunningAttempt, error: MimosaspurError) -> None:
--- a/packages/daemon/src/mimosaspur_daemon/targetrole.py
+++ b/packages/daemon/src/mimosaspur_daemon/targetrole.py
@@ -110,7 +110,7 @@
         region = self.settings.instance.region
         placed = keys.placements(region)
         if self.target.kind is TargetKind.SERVICE:
-            placed = keys.carrier(region, self.target.service)
+            placed = keys.service_registration(region, self.target.service)
         prefixes = (keys.HEAD, placed, keys.drain(self.settings.instance.name))
         return Mirror(
             self.store,
--- a/packages/daemon/src/mimosaspur_daemon/targetserver.py
+++ b/packages/daemon/src/mimosaspur_daemon/targetserver.py
@@ -11,7 +11,7 @@
 from mimosaspur_daemon.serving import Serving
 from mimosaspur_protocol.codec import ProtocolError
 from mimosaspur_protocol.messages import BundleOffer
-from mimosaspur_protocol.messages import BundleWanted
+from mimosaspur_protocol.messages import BundleRequest
 from mimosaspur_protocol.messages import Cancel
 from mimosaspur_protocol.messages import Draining
 from mimosaspur_protocol.messages import Generation
@@ -221,7 +221,7 @@
         self._compare(message.generation, connection)
 
     @_handle.register
-    def _(self, message: BundleWanted, connection: EntryConnection) -> None:
+    def _(self, message: BundleRequest, connection: EntryConnection) -> None:
         packed = self.holder.encode_current()
         if packed and packed[0] > message.have:
             connection.wire.send(BundleOffer(*packed))
@@ -246,7 +246,7 @@
 
     def _compare(self, theirs: int, connection: EntryConnection) -> None:
         if self.holder.should_request(theirs, self.clock.now_ms()):
-            connection.wire.send(BundleWanted(self.holder.generation()))
+            connection.wire.send(BundleRequest(self.holder.generation()))
 
 
 def _dropped() -> MimosaspurError:
