--- a/features/steps/direct_workspaces_steps.py
+++ b/features/steps/direct_workspaces_steps.py
@@ -66,7 +66,7 @@
     context.entry.confirm(age_ms=age_ms)
     trusted_ms = None if trusted == "for ever" else int(trusted.split()[1])
     state = context.entry.state
-    state.settings = replace(state.settings, credentials_trusted_ms=trusted_ms)
+    state.settings = replace(state.settings, credential_max_age_ms=trusted_ms)
 
 
 @when('a caller sends the headers "{headers}"')
