--- a/packages/protocol/src/mimosaspur_protocol/__init__.py
+++ b/packages/protocol/src/mimosaspur_protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Define the messages that callers and instances exchange."""
+"""Define and encode the messages that callers and instances exchange."""
--- a/packages/state/src/mimosaspur_state/__init__.py
+++ b/packages/state/src/mimosaspur_state/__init__.py
@@ -1,1 +1,1 @@
-"""Hold the records that instances keep."""
+"""Define the state, settings and stored records that all processes share."""
--- a/packages/state/src/mimosaspur_state/bundle.py
+++ b/packages/state/src/mimosaspur_state/bundle.py
@@ -1,4 +1,4 @@
-"""Hold and check versioned bundles."""
+"""Define and validate versioned bundles."""
 
 import hashlib
 import json
@@ -17,19 +17,19 @@
 
 
 class AdapterEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Name an adapter of a model, its version and its memory on each accelerator."""
+    """Describe an adapter of a model; memory_mb is on each accelerator."""
 
     name: str
     version: str
     memory_mb: int
 
     def resident_id(self) -> str:
-        """Return the engine's name for it."""
+        """Return the id under which an engine holds it."""
         return f"{self.name}@{self.version}"
 
 
 class ModelEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Name a model to serve; memory_mb (weights and KV reserve) is on each accelerator."""
+    """Describe a model to serve; memory_mb (weights and KV reserve) is on each accelerator."""
 
     name: str
     version: str
@@ -42,27 +42,27 @@
     adapters: tuple[AdapterEntry, ...] = ()
 
     def resident_id(self) -> str:
-        """Return the engine's name for it."""
+        """Return the id under which an engine holds it."""
         return f"{self.name}@{self.version}"
 
     def total_mb(self) -> int:
-        """Return the memory on each accelerator with all adapters."""
+        """Return the memory on each accelerator, including all adapters."""
         return self.memory_mb + sum(adapter.memory_mb for adapter in self.adapters)
 
     def replica_limit(self) -> int:
-        """Return the most replicas that demand may bring it."""
+        """Return the maximum number of replicas when scaled by demand."""
         return max(self.replicas, self.max_replicas)
 
 
 class ServiceEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Name a plain service that targets of kind service carry."""
+    """Describe a plain service that targets of kind service provide."""
 
     name: str
     priority: int = DEFAULT_PRIORITY
 
 
 class Bundle(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """List what must be served, where and with what priority."""
+    """List the models and services to serve, with their placement and priorities."""
 
     name: str
     models: tuple[ModelEntry, ...]
@@ -70,30 +70,30 @@
     base_generation: int = 0
 
     def to_value(self) -> Any:
-        """Return it as plain JSON data."""
+        """Return the bundle as plain JSON data."""
         return msgspec.to_builtins(self)
 
     def digest(self) -> str:
-        """Return a digest of its content."""
+        """Return the SHA-256 digest of the content."""
         text = json.dumps(self.to_value(), sort_keys=True, separators=(",", ":"))
         return hashlib.sha256(text.encode()).hexdigest()
 
 
 @dataclass(slots=True, frozen=True)
 class ServedName:
-    """Say what a served name stands for in a bundle."""
+    """Map a served name to its model and, for an adapter, the adapter."""
 
     model: ModelEntry
     adapter: AdapterEntry | None = None
 
     def resident_id(self) -> str:
-        """Return the engine's name for it."""
+        """Return the id under which an engine holds it."""
         return self.adapter.resident_id() if self.adapter else self.model.resident_id()
 
 
 @dataclass(slots=True)
 class BundleIndex:
-    """Find a bundle's entries by the names that callers use."""
+    """Index a bundle's entries by the names that callers use."""
 
     generation: int
     bundle: Bundle
@@ -103,7 +103,7 @@
 
     @classmethod
     def build(cls, generation: int, bundle: Bundle) -> "BundleIndex":
-        """Index a checked bundle."""
+        """Return the index of a validated bundle."""
         index = cls(generation, bundle)
         for model in bundle.models:
             index.models[model.name] = model
@@ -116,7 +116,7 @@
 
 
 def bundle_from_value(value: Any) -> Bundle:
-    """Check plain JSON data and return it as a bundle; raise BAD_BUNDLE naming the fault."""
+    """Validate plain JSON data and return it as a bundle; raise BAD_BUNDLE."""
     try:
         bundle = msgspec.convert(value, Bundle)
     except msgspec.ValidationError as error:
@@ -135,20 +135,20 @@
             _check_name(name)
             if name in seen:
                 raise _bundle_error(
-                    f"{name!r} is named twice; one bundle holds one version of a name."
+                    f"{name!r} occurs twice; a bundle may hold only one version of a name."
                 )
             seen.add(name)
     services = [service.name for service in bundle.services]
     for name in services:
         _check_name(name)
         if services.count(name) > 1:
-            raise _bundle_error(f"The service {name!r} is named twice.")
+            raise _bundle_error(f"The service {name!r} occurs twice.")
 
 
 def _check_name(name: str) -> None:
     if not name or len(name) > MAX_NAME_LENGTH or not name.isprintable() or "@" in name:
         raise _bundle_error(
-            f"{name!r} is no name; use 1 to {MAX_NAME_LENGTH} characters without '@'."
+            f"{name!r} is not a valid name; use 1 to {MAX_NAME_LENGTH} characters without '@'."
         )
 
 
@@ -157,7 +157,7 @@
         raise _bundle_error(f"{model.name!r} or one of its adapters has an empty version.")
     sizes = [model.memory_mb, *(adapter.memory_mb for adapter in model.adapters)]
     if min(sizes) <= 0:
-        raise _bundle_error(f"{model.name!r} has a memory_mb that is not above 0.")
+        raise _bundle_error(f"{model.name!r} has a memory_mb of 0 or less; it must be positive.")
     if model.accelerators < 1 or model.replicas < 1:
         raise _bundle_error(f"{model.name!r} needs at least one accelerator and one replica.")
     if not 0 <= model.priority <= LOWEST_PRIORITY:
--- a/packages/state/src/mimosaspur_state/codes.py
+++ b/packages/state/src/mimosaspur_state/codes.py
@@ -1,4 +1,4 @@
-"""Number every result that a caller or an operator can be told."""
+"""Define the result codes that callers and operators receive."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -6,7 +6,7 @@
 
 
 class Outcome(Enum):
-    """Say what is known about whether a request ran."""
+    """Describe whether a request is known to have run."""
 
     NOT_RUN = "not_run"
     DONE = "done"
@@ -14,7 +14,7 @@
 
 
 class ResultCode(IntEnum):
-    """Number the results; 1xxx bad input, 2xxx refused, 3xxx unknown or cut, 4xxx operators."""
+    """Enumerate results: 1xxx bad input, 2xxx refused, 3xxx unknown or cut, 4xxx operators."""
 
     MALFORMED_JSON = 1001
     UNKNOWN_MODEL = 1002
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CodeInfo:
-    """Describe one result code to the person who meets it."""
+    """Describe one result code to its recipient."""
 
     http_status: int
     meaning: str
--- a/packages/state/src/mimosaspur_state/counters.py
+++ b/packages/state/src/mimosaspur_state/counters.py
@@ -1,16 +1,14 @@
-"""Count events and durations, and tell them as text for whoever scrapes metrics.
+"""Count events and durations and render them in the Prometheus text format.
 
-The usual client library takes 14 MB to import (measured on Python 3.11), nearly as much as the
-whole entry, whose memory the platform charges for.
+The usual client library is not used, since its import nearly doubles an entry's memory.
 """
 
 PREFIX = "mimosaspur_"
-# Upper bounds of the histograms' buckets, in milliseconds: around the callers' objectives.
 BUCKET_BOUNDS_MS = (25, 50, 100, 200, 400, 800, 1_600, 3_200, 6_400, 12_800)
 
 
 class Counters:
-    """Hold counters by event and label, and histograms of milliseconds."""
+    """Collect counters by event and label, and histograms of milliseconds."""
 
     __slots__ = ("counts", "histograms", "sums")
 
@@ -20,19 +18,19 @@
         self.sums: dict[str, float] = {}
 
     def count(self, event: str, label: str = "") -> None:
-        """Count an event."""
+        """Increment the counter of an event."""
         key = (event, label)
         self.counts[key] = self.counts.get(key, 0) + 1
 
     def observe(self, name: str, ms: float) -> None:
-        """Count a duration in its histogram."""
+        """Record a duration in its histogram."""
         buckets = self.histograms.setdefault(name, [0] * (len(BUCKET_BOUNDS_MS) + 1))
-        place = sum(ms > bound for bound in BUCKET_BOUNDS_MS)
-        buckets[place] += 1
+        index = sum(ms > bound for bound in BUCKET_BOUNDS_MS)
+        buckets[index] += 1
         self.sums[name] = self.sums.get(name, 0.0) + ms
 
     def render(self) -> str:
-        """Return all of it in the text format that metrics scrapers read."""
+        """Return all metrics in the Prometheus text format."""
         lines = [
             f'{PREFIX}events_total{{event="{event}",result="{label}"}} {count}'
             for (event, label), count in sorted(self.counts.items())
--- a/packages/state/src/mimosaspur_state/directsettings.py
+++ b/packages/state/src/mimosaspur_state/directsettings.py
@@ -1,4 +1,4 @@
-"""Hold the settings of an entry that reaches its targets without a process beside them."""
+"""Define the settings of an entry that connects to its targets directly."""
 
 from dataclasses import dataclass
 from dataclasses import field
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RetryBounds:
-    """Bound the arrivals at a service beyond the first of each request, over all entries."""
+    """Limit the retries that reach a service, over all entries."""
 
     ratio: float
     window_ms: int
@@ -17,55 +17,54 @@
 
 @dataclass(slots=True, frozen=True)
 class OrderBounds:
-    """Bound the orders to engines."""
+    """Limit the orders to engines."""
 
-    # Between the last order of one holder and the first of the next.
+    # Minimum time between the last order of one lease holder and the first of the next.
     handover_ms: int
-    # The weight store's rate may be passed by this factor within a window.
+    # Factor by which loads may exceed the weight store's rate within a window.
     load_window_ms: int
     load_overage: float
 
 
 @dataclass(slots=True, frozen=True)
 class QuotaBounds:
-    """Bound what workspaces spend in any window, over all entries."""
+    """Limit what workspaces spend in any window, over all entries."""
 
     window_ms: int
-    # What a quota allows may be passed by this part of it, and by this much besides, in the
-    # quota's own unit.
+    # Spending may exceed a quota by this share of it plus `slack`, which is in the quota's unit.
     overage: float
     slack: float
 
 
 @dataclass(slots=True, frozen=True)
 class DirectSettings:
-    """Hold the settings of one process."""
+    """Hold the settings of one entry process."""
 
     instance: str
     ip: str
     failure_domain: str
     callers_address: tuple[str, int]
     ready_address: tuple[str, int]
-    # Entries listen here for one another.
+    # Port for connections from other entries.
     peer_port: int
-    # Metrics are served here as text; 0 serves none.
+    # Port of the metrics endpoint; 0 disables it.
     metrics_port: int
     store_address: tuple[str, int]
     memory_mb: float
     descriptors: int
-    # From SIGTERM to the end of the process.
+    # Maximum time from SIGTERM to process exit.
     shutdown_ms: int
-    # From the store's acknowledgement of a configuration until it is in force everywhere.
+    # Maximum time from the store's acknowledgement of a configuration until all entries use it.
     configuration_ms: int
-    # From the store's acknowledgement that a target leaves until nothing more is sent there.
+    # Maximum time from the store's acknowledgement that a target leaves until requests stop.
     drain_ms: int
     target_heartbeat_ms: int
     retries: RetryBounds
     orders: OrderBounds
     quotas: QuotaBounds = QuotaBounds(window_ms=8_000, overage=0.1, slack=0.0)
-    # For how long credentials are relied on that nobody has confirmed; None for any time.
+    # How long unconfirmed credentials stay valid; None is unlimited.
     credential_max_age_ms: int | None = None
-    # What this machine offers: cores of common speed, and its link. 0 where it isn't known.
+    # Normalized core count and link rate of this machine; 0 if unknown.
     cores: float = 0.0
     link_mbps: float = 0.0
     policy: Policy = field(default_factory=Policy)
--- a/packages/state/src/mimosaspur_state/engine.py
+++ b/packages/state/src/mimosaspur_state/engine.py
@@ -1,4 +1,4 @@
-"""Describe a model engine's own reports and the orders it takes."""
+"""Define a model engine's reports and the orders that it accepts."""
 
 from dataclasses import dataclass
 from dataclasses import field
@@ -6,7 +6,7 @@
 
 
 class ResidentKind(Enum):
-    """Name what can be resident on accelerators; an import was brought by someone else."""
+    """Enumerate what can be resident; an import was loaded by another system."""
 
     MODEL = "model"
     ADAPTER = "adapter"
@@ -14,7 +14,7 @@
 
 
 class ResidentState(Enum):
-    """Name the states of a resident."""
+    """Enumerate the states of a resident."""
 
     LOADING = "loading"
     READY = "ready"
@@ -22,7 +22,7 @@
 
 
 class OrderOutcome(Enum):
-    """Name what became of an order."""
+    """Enumerate the outcomes of an order."""
 
     RUNNING = "running"
     DONE = "done"
@@ -30,7 +30,7 @@
 
 
 class OrderKind(Enum):
-    """Name the orders; a fence only raises the engine's newest fencing token."""
+    """Enumerate the orders; a fence only raises the engine's newest fencing token."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Resident:
-    """Hold one resident as reported; memory_mb is on each of its accelerators."""
+    """Describe one reported resident; memory_mb is on each of its accelerators."""
 
     id: str
     base: str | None
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OrderState:
-    """Hold what an engine tells of an order."""
+    """Describe the state of an order as the engine reports it."""
 
     order_id: str
     state: OrderOutcome
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineState:
-    """Hold an engine's whole report; engine_id is new at each start."""
+    """Hold an engine's complete report; engine_id changes at each start."""
 
     engine_id: str
     fencing: int
@@ -70,11 +70,11 @@
     orders: tuple[OrderState, ...] = ()
 
     def resident(self, name: str) -> Resident | None:
-        """Return a resident by id, or None."""
+        """Return the resident with this id, or None."""
         return next((item for item in self.residents if item.id == name), None)
 
     def models(self) -> list[Resident]:
-        """Return the models, of any state, without adapters and imports."""
+        """Return the models in any state, excluding adapters and imports."""
         return [item for item in self.residents if item.kind is ResidentKind.MODEL]
 
     def layout(self) -> dict[str, tuple[int, ...]]:
@@ -82,7 +82,7 @@
         return {item.id: item.accelerators for item in self.models()}
 
     def held_mb(self) -> dict[str, int]:
-        """Return the memory of each model with what sits on it, on each of its accelerators."""
+        """Return each model's memory per accelerator, including residents based on it."""
         held = {item.id: item.memory_mb for item in self.models()}
         for item in self.residents:
             if item.base in held:
@@ -90,11 +90,11 @@
         return held
 
     def order(self, order_id: str) -> OrderState | None:
-        """Return what became of an order, or None if the engine doesn't show it."""
+        """Return the state of an order, or None if the engine does not report it."""
         return next((item for item in self.orders if item.order_id == order_id), None)
 
     def is_ready(self, name: str) -> bool:
-        """Tell whether a model or adapter is ready to work."""
+        """Return whether a model or adapter is ready to serve requests."""
         found = self.resident(name)
         if found is None or found.kind is ResidentKind.IMPORT:
             return False
@@ -103,7 +103,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineLoad:
-    """Hold an engine's own view of its load, which lags."""
+    """Hold the load that an engine reports, which may be stale."""
 
     active: int
     waiting: int
@@ -113,7 +113,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineOrder:
-    """Hold an order as it is sent; the same order_id is never done twice by one engine."""
+    """Describe an order to an engine, which executes an order_id at most once."""
 
     order_id: str
     fencing: int
@@ -126,16 +126,16 @@
 
 
 class EngineUnavailable(Exception):
-    """Say that the engine gave no answer; an order may still take effect."""
+    """Raised when the engine does not answer; an order may still take effect."""
 
 
 class OrderFenced(Exception):
-    """Say that the engine has seen a newer fencing token; a successor gives the orders."""
+    """Raised when the engine has seen a newer fencing token, so that a successor owns it."""
 
     def __init__(self, newest: int) -> None:
-        super().__init__(f"the engine has seen fencing token {newest}")
+        super().__init__(f"engine rejected the order: it has seen fencing token {newest}")
         self.newest_token = newest
 
 
 class OrderRefused(Exception):
-    """Say that the engine refused an order as malformed; it did not take effect."""
+    """Raised when the engine rejects an order as malformed; it did not take effect."""
--- a/packages/state/src/mimosaspur_state/errors.py
+++ b/packages/state/src/mimosaspur_state/errors.py
@@ -1,4 +1,4 @@
-"""Carry a numbered result from where it arises to who must be told."""
+"""Define the exceptions that processes share."""
 
 from mimosaspur_state.codes import CODE_TABLE
 from mimosaspur_state.codes import Outcome
@@ -6,7 +6,7 @@
 
 
 class MimosaspurError(Exception):
-    """Report a numbered result, what is known of the request, and when to come back."""
+    """Carry a result code, the request's outcome and an optional retry delay."""
 
     def __init__(
         self,
@@ -29,21 +29,21 @@
 
 
 class StoreUnavailable(Exception):
-    """Say that the object API gave no answer; the call may still have taken effect."""
+    """Raised when the object API does not answer; the call may still take effect."""
 
 
 class StoreRestored(StoreUnavailable):
-    """Say that the object API has come back from an older copy since a revision was told."""
+    """Raised when the object API was restored from a copy older than a known revision."""
 
 
 class VersionConflict(Exception):
-    """Say that a conditional write found another version."""
+    """Raised when a conditional write finds another version."""
 
     def __init__(self, key: str, version: int) -> None:
-        super().__init__(f"{key} is at version {version}")
+        super().__init__(f"conditional write failed: {key} is at version {version}")
         self.key = key
         self.version = version
 
 
 class RevisionTooOld(Exception):
-    """Say that a watch can't tell what happened since a revision; list again."""
+    """Raised when a watch no longer has the changes since a revision; list again."""
--- a/packages/state/src/mimosaspur_state/eventlog.py
+++ b/packages/state/src/mimosaspur_state/eventlog.py
@@ -1,4 +1,4 @@
-"""Write decisions as JSON lines on standard output without ever blocking a request."""
+"""Write events as JSON lines to standard output without blocking requests."""
 
 import fcntl
 import os
@@ -11,14 +11,14 @@
 from mimosaspur_state.clock import SystemClock
 from mimosaspur_state.counters import Counters
 
-# Lines of one kind that may be written in a second; the rest is counted and told.
+# Excess lines are counted and reported in one summary line.
 MAX_LINES_PER_KIND_PER_S = 40
-# Bytes that wait for a slow reader of standard output before lines are dropped.
+# Lines are dropped when a slow reader of standard output lags by more than this.
 MAX_PENDING_BYTES = 262_144
 
 
 class EventLog:
-    """Write one line for each event; a flood of a kind is cut, with a count of the rest."""
+    """Write one line per event, rate-limited per kind, with a count of suppressed lines."""
 
     __slots__ = (
         "clock",
@@ -46,7 +46,7 @@
         fcntl.fcntl(self.fd, fcntl.F_SETFL, flags | os.O_NONBLOCK)
 
     def write(self, kind: str, /, **fields: object) -> None:
-        """Log and count an event; the line is left out if too many came within this second."""
+        """Count an event and log it unless its kind exceeds the rate limit of this second."""
         self.counters.count(kind, _outcome_label(fields))
         now_ms = self.clock.now_ms()
         if now_ms // 1000 != self.current_second:
@@ -59,7 +59,7 @@
         self._append_line(kind, fields)
 
     def always(self, kind: str, /, **fields: object) -> None:
-        """Log and count a rare event that must not be left out."""
+        """Count and log an event regardless of the rate limit."""
         self.counters.count(kind, _outcome_label(fields))
         self._append_line(kind, fields)
 
@@ -90,7 +90,7 @@
             return
         if len(data) - sent > MAX_PENDING_BYTES:
             self.dropped += 1
-            # Only the begun line is kept whole; a reader must not meet half a line.
+            # Keep the rest of a partly written line, so that the output has no partial lines.
             rest = data[sent:]
             data, sent = rest[: rest.index(b"\n") + 1] if sent else b"", 0
         if data[sent:]:
@@ -98,7 +98,7 @@
 
 
 def _outcome_label(fields: dict[str, object]) -> str:
-    """Return the field that tells how an event of a kind ended."""
+    """Return the value of the field that holds the event's outcome, or an empty string."""
     for name in ("result", "outcome", "code", "what"):
         if name in fields:
             return str(fields[name])
--- a/packages/state/src/mimosaspur_state/fleet.py
+++ b/packages/state/src/mimosaspur_state/fleet.py
@@ -1,4 +1,4 @@
-"""Hold what the system knows of targets that it reaches without a process beside them."""
+"""Define the state of targets that entries connect to directly."""
 
 from dataclasses import dataclass
 from dataclasses import field
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TargetRecord:
-    """Hold what a target last registered of itself; it may start again under the same identity."""
+    """Hold a target's last registration; a restarted target may reuse its identity."""
 
     identity: str
     service: str
@@ -15,36 +15,36 @@
     failure_domain: str
     leaving: bool = False
     slots: int = 0
-    # Adapters by model; None when the target says nothing of models.
+    # Adapters by model; None if the target does not report models.
     residents: dict[str, frozenset[str]] | None = None
     sequence: int = 0
-    # When it started, in Unix milliseconds; with the identity this names one lifetime.
+    # Start time in Unix milliseconds; with the identity this identifies one incarnation.
     started_ms: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class EngineReport:
-    """Hold an engine's own report, which lags behind the truth by some hundred ms."""
+    """Hold an engine's report, which may be some hundred milliseconds old."""
 
     residents: dict[str, frozenset[str]]
     pending_adapters: frozenset[tuple[str, str]]
     busy: bool
-    # Orders accepted since the engine started.
+    # Number of orders accepted since the engine started.
     sequence: int
     waiting: int
     running: int
     kv_used: int
-    # Copies of weights, those that were used longest ago first.
+    # Models with a copy of their weights, least recently used first.
     in_memory: tuple[str, ...] = ()
     on_disk: tuple[str, ...] = ()
-    # When the engine started, in Unix milliseconds, 0 if it doesn't tell.
+    # Start time in Unix milliseconds; 0 if not reported.
     started_ms: int = 0
-    # When it will be gone, whatever it runs; None if it isn't about to be taken away.
+    # Time until the engine is terminated, even with requests running; None if not scheduled.
     terminates_in_ms: int | None = None
 
 
 class OrderKind(Enum):
-    """Say what an order asks of an engine."""
+    """Enumerate the orders to an engine."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -52,37 +52,37 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineOrder:
-    """Ask an engine to load or unload a model, or one adapter of a model that it holds."""
+    """Describe an order to load or unload a model, or an adapter of a loaded model."""
 
     kind: OrderKind
     model: str
     adapter: str = ""
-    # The engine obeys only if it has accepted this many orders.
+    # The engine executes the order only if it has accepted this many orders before.
     expected_sequence: int = 0
     holder: str = ""
     fencing_token: int = 0
 
 
 class OrderOutcome(Enum):
-    """Say what became of an order."""
+    """Enumerate the outcomes of an order."""
 
     ACCEPTED = "accepted"
     ALREADY_SO = "already_so"
-    # Another order is under way, or the sequence has moved on.
+    # Another order is in progress, or the sequence has advanced.
     CONFLICT = "conflict"
     REFUSED = "refused"
-    # No answer: it may be carried out now, later or never.
+    # No answer: the order may be executed now, later or never.
     UNKNOWN = "unknown"
 
 
 @dataclass(slots=True)
 class OutstandingWork:
-    """Count what runs or waits at a target."""
+    """Count the requests and tokens that run or wait at a target."""
 
     requests: int = 0
-    # Prompt tokens of requests whose first token is still to come, by their rank at the engine; a
-    # model that is read faster counts less.
+    # Prompt tokens of requests before their first token, by their rank at the engine, weighted by
+    # the model's cost per token.
     prefill_tokens: dict[int, float] = field(default_factory=dict)
-    # Prompt and output tokens of all of them.
+    # Prompt and output tokens of all these requests.
     held_tokens: int = 0
     by_model: dict[str, int] = field(default_factory=dict)
--- a/packages/state/src/mimosaspur_state/instances.py
+++ b/packages/state/src/mimosaspur_state/instances.py
@@ -1,11 +1,11 @@
-"""Describe the instances that the platform's instance list shows."""
+"""Define the entries of the platform's instance list."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class Instance:
-    """Hold one instance as listed; the list lags behind the truth."""
+    """Describe one instance as listed; the list may be stale."""
 
     name: str
     role: str
--- a/packages/state/src/mimosaspur_state/keys.py
+++ b/packages/state/src/mimosaspur_state/keys.py
@@ -1,4 +1,4 @@
-"""Name the system's objects in the platform's object API."""
+"""Build the keys of the system's objects in the platform's object API."""
 
 from urllib.parse import quote
 
@@ -12,12 +12,12 @@
 
 
 def encode_segment(name: str) -> str:
-    """Encode a name so that it is one segment of a key."""
+    """Percent-encode a name into one segment of a key."""
     return quote(name, safe="")
 
 
 def bundle(name: str) -> str:
-    """Return the key of a written bundle."""
+    """Return the key of a stored bundle."""
     return BUNDLES + encode_segment(name)
 
 
@@ -32,7 +32,7 @@
 
 
 def drain(instance: str) -> str:
-    """Return the key of an operator's order that an instance leave."""
+    """Return the key of an operator's drain order for an instance."""
     return DRAINS + encode_segment(instance)
 
 
@@ -82,10 +82,10 @@
 
 
 def service_registrations(region: str) -> str:
-    """Return the prefix of the records of which targets carry a plain service."""
+    """Return the prefix of a region's registrations of targets for plain services."""
     return f"carriers/{encode_segment(region)}/"
 
 
 def service_registration(region: str, service: str) -> str:
-    """Return the key of one plain service's record in a region."""
+    """Return the key of one plain service's registrations in a region."""
     return service_registrations(region) + encode_segment(service)
--- a/packages/state/src/mimosaspur_state/ledger.py
+++ b/packages/state/src/mimosaspur_state/ledger.py
@@ -1,4 +1,4 @@
-"""Count the memory of one engine's accelerators, with every order whose outcome is unknown."""
+"""Track the memory of one engine's accelerators, including orders of unknown outcome."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class PendingOrder:
-    """Hold an order until a report settles it; an unload has no memory of its own."""
+    """Track an order until a report settles it; an unload reserves no memory."""
 
     order_id: str
     kind: OrderKind
@@ -21,9 +21,9 @@
 
 
 class MemoryLedger:
-    """Add up residents as reported and orders that the report doesn't show yet.
+    """Sum the memory of reported residents and of orders not yet reported.
 
-    Not safe for use by several threads: its one owner gives the orders and reads the reports.
+    Not thread-safe: a single owner sends the orders and reads the reports.
     """
 
     __slots__ = ("requested_at_ms", "pending", "max_order_delay_ms", "report")
@@ -35,7 +35,7 @@
         self.requested_at_ms = 0
 
     def apply_report(self, report: EngineState, *, requested_at_ms: int) -> list[PendingOrder]:
-        """Take in a whole report by when it was asked for; return the orders given up as lost."""
+        """Apply a complete report unless it is outdated; return the orders presumed lost."""
         if self.report is not None and requested_at_ms < self.requested_at_ms:
             return []
         self.report = report
@@ -46,7 +46,7 @@
                 continue
             expired = requested_at_ms - order.sent_at_ms >= self.max_order_delay_ms
             shown = self.is_reported(order)
-            # A copy without an answer may still be on its way, to a restarted engine even.
+            # An unanswered send may still arrive, even at a restarted engine.
             if expired or (shown and not order.unanswered):
                 del self.pending[order.order_id]
                 if not shown:
@@ -54,7 +54,7 @@
         return lost
 
     def is_reported(self, order: PendingOrder) -> bool:
-        """Tell whether the last report tells what became of an order."""
+        """Return whether the last report includes an order."""
         if self.report is None:
             return False
         if self.report.order(order.order_id) is not None:
@@ -62,7 +62,7 @@
         return any(item.order_id == order.order_id for item in self.report.residents)
 
     def unreported_order(self, resident: str) -> PendingOrder | None:
-        """Return an order on this resident that the last report doesn't show."""
+        """Return an order for this resident that the last report does not include."""
         for order in self.pending.values():
             if order.resident == resident and not self.is_reported(order):
                 return order
@@ -79,9 +79,9 @@
         headroom_mb: int = 0,
         keep_free_mb: Sequence[int] = (),
     ) -> tuple[int, ...] | None:
-        """Hold memory on the fullest accelerators where it fits; None if it fits on too few.
+        """Reserve memory on the fullest accelerators that fit it; None if there are too few.
 
-        headroom_mb must be free there besides; keep_free_mb, by accelerator, is promised already.
+        headroom_mb must remain free there; keep_free_mb, by accelerator, is reserved elsewhere.
         """
         free = self._free_after_reserve(keep_free_mb)
         fitting = [index for index, mb in enumerate(free) if mb >= memory_mb + headroom_mb]
@@ -102,7 +102,7 @@
         *,
         now_ms: int,
     ) -> tuple[int, ...] | None:
-        """Hold memory on just these accelerators; None if it doesn't fit on all of them."""
+        """Reserve memory on exactly these accelerators; None if it does not fit on all."""
         free = self.free_mb()
         if not accelerators or any(free[index] < memory_mb for index in accelerators):
             return None
@@ -112,11 +112,11 @@
         return accelerators
 
     def track_unload(self, order_id: str, resident: str, *, now_ms: int) -> None:
-        """Remember an unload; its memory is free only when a report no longer shows it."""
+        """Track an unload; its memory is free only when a report omits the resident."""
         self.pending[order_id] = PendingOrder(order_id, OrderKind.UNLOAD, resident, 0, (), now_ms)
 
     def record_send(self, order_id: str, *, at_ms: int, answered: bool) -> None:
-        """Note when the last try to send an order ended."""
+        """Record when the last attempt to send an order ended."""
         order = self.pending.get(order_id)
         if order is None:
             return
@@ -124,13 +124,13 @@
         order.sent_at_ms = at_ms
 
     def release_refused(self, order_id: str) -> None:
-        """Free an order that surely took no effect, unless an earlier copy may still."""
+        """Release a refused order, unless an earlier unanswered send may still take effect."""
         order = self.pending.get(order_id)
         if order and not order.unanswered:
             del self.pending[order_id]
 
     def accelerators_of(self, resident: str) -> tuple[int, ...]:
-        """Return where a resident is or is ordered to be, empty if nowhere."""
+        """Return the accelerators that hold or are to load a resident; may be empty."""
         shown = self.report.resident(resident) if self.report else None
         if shown:
             return shown.accelerators
@@ -138,16 +138,16 @@
         return order.accelerators if order else ()
 
     def is_counted(self, resident: str) -> bool:
-        """Tell whether a resident's memory is counted already."""
+        """Return whether a resident's memory is already counted."""
         return bool(self.accelerators_of(resident))
 
     def unreported_loads(self) -> list[PendingOrder]:
-        """Return the loads whose memory is held though the last report doesn't show them."""
+        """Return the loads that hold memory without being in the last report."""
         loads = [order for order in self.pending.values() if order.kind is OrderKind.LOAD]
         return [order for order in loads if not self._counted_as_resident(order)]
 
     def capacity_mb(self) -> tuple[int, ...]:
-        """Return the memory of each accelerator as reported."""
+        """Return the reported capacity of each accelerator."""
         return self.report.capacity_mb if self.report else ()
 
     def used_mb(self) -> tuple[int, ...]:
@@ -165,14 +165,14 @@
         return tuple(used)
 
     def free_mb(self) -> tuple[int, ...]:
-        """Return the memory left on each accelerator, never below zero."""
+        """Return the free memory of each accelerator, at least 0."""
         pairs = zip(self.capacity_mb(), self.used_mb(), strict=True)
         return tuple(max(0, capacity - used) for capacity, used in pairs)
 
     def _counted_as_resident(self, order: PendingOrder) -> bool:
         if self.report is None:
             return False
-        # An engine holds a resident once, so a second load of it takes no more memory.
+        # An engine holds a resident once, so a repeated load takes no additional memory.
         return self.report.resident(order.resident) is not None or self.is_reported(order)
 
     def _free_after_reserve(self, keep_free_mb: Sequence[int]) -> list[int]:
--- a/packages/state/src/mimosaspur_state/load.py
+++ b/packages/state/src/mimosaspur_state/load.py
@@ -1,11 +1,11 @@
-"""Describe a target's load."""
+"""Define the load that a target reports."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class Load:
-    """Report a target's load; predicted_wait_ms is for a request that came now."""
+    """Hold a target's load; predicted_wait_ms is for a request that arrives now."""
 
     active: int
     queued: int
--- a/packages/state/src/mimosaspur_state/metrics.py
+++ b/packages/state/src/mimosaspur_state/metrics.py
@@ -8,7 +8,7 @@
 
 
 class Metrics:
-    """Count, time and gauge; does nothing when no statsd is set up."""
+    """Send counters, timings and gauges; does nothing if statsd is not configured."""
 
     __slots__ = ("client",)
 
@@ -19,7 +19,7 @@
             self.client = statsd.StatsClient(settings.host, settings.port, prefix=prefix)
 
     def count(self, name: str, n: int = 1) -> None:
-        """Add to a counter."""
+        """Increment a counter."""
         if self.client:
             self.client.incr(name, n)
 
--- a/packages/state/src/mimosaspur_state/objects.py
+++ b/packages/state/src/mimosaspur_state/objects.py
@@ -1,4 +1,4 @@
-"""Define the port to the platform's object API."""
+"""Define the interface to the platform's object API."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StoredObject:
-    """Hold one object as read; value is None for a deletion seen by a watch."""
+    """Hold one object as read; value is None for a deletion reported by a watch."""
 
     key: str
     version: int
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Snapshot:
-    """Hold a listing and the store's revision at which it was taken."""
+    """Hold a listing and the store revision that it reflects."""
 
     revision: int
     objects: list[StoredObject]
@@ -27,8 +27,7 @@
 class ObjectStore(Protocol):
     """Read, write and watch the platform's objects.
 
-    Every call raises StoreUnavailable when no answer came in time; a write may then have
-    taken effect all the same.
+    Every call raises StoreUnavailable on a timeout; a write may still take effect.
     """
 
     def get(self, key: str) -> StoredObject | None:
@@ -36,7 +35,7 @@
         ...
 
     def list(self, prefix: str) -> Snapshot:
-        """Return every object whose key starts with the prefix."""
+        """Return all objects whose key starts with the prefix."""
         ...
 
     def create(self, key: str, value: Any) -> int:
@@ -44,11 +43,11 @@
         ...
 
     def update(self, key: str, value: Any, version: int) -> int:
-        """Replace the object at this version; raise VersionConflict at another one."""
+        """Replace the object if it has this version; otherwise raise VersionConflict."""
         ...
 
     def delete(self, key: str, version: int) -> None:
-        """Delete the object at this version; raise VersionConflict at another one."""
+        """Delete the object if it has this version; otherwise raise VersionConflict."""
         ...
 
     def watch(self, prefixes: tuple[str, ...], since: int, wait_ms: int) -> Snapshot:
--- a/packages/state/src/mimosaspur_state/placement.py
+++ b/packages/state/src/mimosaspur_state/placement.py
@@ -1,4 +1,4 @@
-"""Record which targets hold a model."""
+"""Define the records of which targets hold a model."""
 
 from enum import Enum
 from typing import Any
@@ -7,7 +7,7 @@
 
 
 class ReplicaState(Enum):
-    """Name the states of a replica on a target."""
+    """Enumerate the states of a replica on a target."""
 
     LOAD = "load"
     READY = "ready"
@@ -15,7 +15,7 @@
 
 
 class Replica(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Say that a target is to load, holds, or is to unload one version of a model."""
+    """Describe one version of a model that a target is to load, holds, or is to unload."""
 
     target: str
     version: str
@@ -25,8 +25,8 @@
 class PlacementRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Hold every replica of one model in one region.
 
-    All changes to a model's replicas are conditional updates of this one object, so two
-    deciders can't both take away what each thinks the other keeps.
+    All changes to a model's replicas are conditional updates of this one object, so that two
+    concurrent writers cannot each remove a replica that the other relies on.
     """
 
     model: str
@@ -34,19 +34,19 @@
     replicas: tuple[Replica, ...] = ()
 
     def ready(self) -> list[Replica]:
-        """Return the replicas that are ready and staying."""
+        """Return the replicas that are ready and not leaving."""
         return [replica for replica in self.replicas if replica.state is ReplicaState.READY]
 
     def serving(self) -> list[Replica]:
-        """Return the replicas that can serve: ready ones and those not unloaded yet."""
+        """Return the replicas that can serve: ready ones and leaving ones."""
         return [replica for replica in self.replicas if replica.state is not ReplicaState.LOAD]
 
     def on_target(self, target: str) -> list[Replica]:
-        """Return the replicas on one target (two while a version changes in place)."""
+        """Return the replicas on one target: two during an in-place version change."""
         return [replica for replica in self.replicas if replica.target == target]
 
     def with_replica(self, replica: Replica) -> "PlacementRecord":
-        """Return a record in which this replica replaces its former state."""
+        """Return a record in which this replica replaces its previous state."""
         rest = self.without(replica.target, replica.version).replicas
         return msgspec.structs.replace(self, replicas=(*rest, replica))
 
@@ -60,10 +60,10 @@
         return msgspec.structs.replace(self, replicas=kept)
 
     def to_value(self) -> Any:
-        """Return it as plain JSON data."""
+        """Return the record as plain JSON data."""
         return msgspec.to_builtins(self)
 
 
 def placement_from_value(value: Any) -> PlacementRecord:
-    """Read a record from plain JSON data."""
+    """Return the record of plain JSON data."""
     return msgspec.convert(value, PlacementRecord)
--- a/packages/state/src/mimosaspur_state/policy.py
+++ b/packages/state/src/mimosaspur_state/policy.py
@@ -1,4 +1,4 @@
-"""Switch off mechanisms by name: to find out what each is worth, or to do without one."""
+"""Disable optional mechanisms by name, for measurements or as a workaround."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -9,45 +9,45 @@
 
 
 class Mechanism(Enum):
-    """Name what can be switched off; the site is served without each of them."""
+    """Enumerate the optional mechanisms."""
 
-    # Adapters are placed ahead of the requests that will name them.
+    # Load adapters before requests name them.
     ADAPTER_PRELOAD = "adapters-ahead"
-    # Models without a copy of their weights are loaded once for it.
+    # Load models without a local copy of their weights once to create one.
     WEIGHT_COPIES = "copies"
-    # A load doesn't push out the last copy of a model's weights if another engine can take it.
+    # Do not evict the last copy of a model's weights for a load that another engine can take.
     KEEP_LAST_COPY = "last-copy"
-    # What a token costs is learnt for the engines and for each model.
+    # Estimate the cost per token for all engines and for each model.
     MODEL_PACE = "model-pace"
-    # The part of a queue that is really waited for is learnt.
+    # Estimate the share of a queue that delays a new request.
     QUEUE_RATIO = "queue-part"
-    # A request that will be late anyway goes behind those that can be on time.
+    # Rank a request that will miss its objective behind those that can meet it.
     DEMOTE_LATE = "late-behind"
-    # An entry that leaves takes what it surely ends.
+    # A leaving entry accepts requests that it can finish in time.
     ACCEPT_WHILE_LEAVING = "leaving-takes"
-    # The coordinator reads the store for the other entries.
+    # The coordinator reads the store on behalf of the other entries.
     STORE_READER = "store-reader"
-    # Entries pass a newer configuration on to those that have not read it yet.
+    # Entries forward a newer configuration to those that have not read it yet.
     PEER_CONFIGURATION = "peer-configuration"
-    # The wait of an unload for its runs is reckoned.
+    # Estimate how long an unload waits for running requests.
     UNLOAD_WAIT_ESTIMATE = "unload-waits"
-    # Streams are moved off engines that are taken away.
+    # Move streams off engines that are about to be terminated.
     EVACUATION = "evacuation"
 
 
 @dataclass(slots=True, frozen=True)
 class Policy:
-    """Hold what is switched off."""
+    """Hold the disabled mechanisms."""
 
     off: frozenset[Mechanism] = frozenset()
 
     def uses(self, mechanism: Mechanism) -> bool:
-        """Tell whether a mechanism is on."""
+        """Return whether a mechanism is enabled."""
         return mechanism not in self.off
 
 
 def policy_without(names: str) -> Policy:
-    """Return the policy without the mechanisms that a list names, with commas between them."""
+    """Return a policy that disables a comma-separated list of mechanisms."""
     return Policy(frozenset(_parse_mechanisms(names)))
 
 
@@ -57,5 +57,5 @@
             yield Mechanism(name)
         except ValueError:
             known = ", ".join(each.value for each in Mechanism)
-            detail = f"there is no mechanism {name!r} to be switched off; there are: {known}"
+            detail = f"unknown mechanism {name!r}; use some of: {known}"
             raise MimosaspurError(ResultCode.BAD_SETTINGS, detail) from None
--- a/packages/state/src/mimosaspur_state/records.py
+++ b/packages/state/src/mimosaspur_state/records.py
@@ -1,4 +1,4 @@
-"""Define the system's own objects as the object API holds them."""
+"""Define the system's objects as stored in the object API."""
 
 from enum import Enum
 from typing import Any
@@ -14,20 +14,20 @@
 
 
 class Record(msgspec.Struct, frozen=True):
-    """Convert to and from plain JSON data; unknown keys are left for newer versions."""
+    """Convert to and from plain JSON data; unknown keys, from newer versions, are ignored."""
 
     def to_value(self) -> Any:
-        """Return it as plain JSON data."""
+        """Return the record as plain JSON data."""
         return msgspec.to_builtins(self)
 
     @classmethod
     def from_value(cls: type[RecordT], value: Any) -> RecordT:
-        """Read it from plain JSON data; raise msgspec.ValidationError."""
+        """Return the record of plain JSON data; raise msgspec.ValidationError."""
         return msgspec.convert(value, cls)
 
 
 class Roll(Record, frozen=True):
-    """Tell one accepted roll."""
+    """Describe one accepted roll."""
 
     generation: int
     bundle: str
@@ -38,14 +38,14 @@
 
 
 class Head(Record, frozen=True):
-    """Name the bundle in force and the rolls before it, newest first."""
+    """Reference the bundle in force and the previous rolls, newest first."""
 
     current: Roll
     history: tuple[Roll, ...] = ()
 
 
 class WrittenBundle(Record, frozen=True):
-    """Hold a bundle as an operator wrote it; never changed afterwards."""
+    """Hold a bundle as an operator wrote it; immutable."""
 
     bundle: Bundle
     digest: str
@@ -54,7 +54,7 @@
 
 
 class Approval(Record, frozen=True):
-    """Tell who approved which content."""
+    """Record who approved which content."""
 
     digest: str
     operator: str
@@ -62,7 +62,7 @@
 
 
 class DrainOrder(Record, frozen=True):
-    """Order an instance to leave."""
+    """Order an instance to drain."""
 
     operator: str
     reason: str
@@ -70,7 +70,7 @@
 
 
 class AuditRecord(Record, frozen=True):
-    """Tell one step of an operator; outcome is asked, done or refused."""
+    """Record one action of an operator; outcome is asked, done or refused."""
 
     record_id: str
     at_ms: int
@@ -82,10 +82,10 @@
 
 
 class TargetStatus(Record, frozen=True):
-    """Report a target to the planner; beat grows with every write.
+    """Report a target to the planner; beat increases with every write.
 
-    Layout and held_mb give, by model in memory, its accelerators and its memory with all its
-    adapters on each of them. A target of an older version reports neither.
+    layout and held_mb hold, for each loaded model, its accelerators and its memory per accelerator
+    including adapters. Targets of older versions report neither.
     """
 
     instance: str
@@ -116,7 +116,7 @@
 
 
 class DemandReport(Record, frozen=True):
-    """Report an entry's demand to the planner; beat grows with every write."""
+    """Report an entry's demand to the planner; beat increases with every write."""
 
     instance: str
     window_ms: int
@@ -125,7 +125,7 @@
 
 
 class PlannerLease(Record, frozen=True):
-    """Say who plans; a beat that stands still for the lease's time frees the duty."""
+    """Record the planner; the lease expires when beat is unchanged for its duration."""
 
     holder: str
     incarnation: str
@@ -133,14 +133,14 @@
 
 
 class FencingRecord(Record, frozen=True):
-    """Hold the newest fencing token handed out for a target."""
+    """Hold the newest fencing token issued for a target."""
 
     token: int
     incarnation: str
 
 
 class ClaimState(Enum):
-    """Name the states of a claim on an idempotency key."""
+    """Enumerate the states of a claim on an idempotency key."""
 
     CLAIMED = "claimed"
     DONE = "done"
@@ -148,10 +148,10 @@
 
 
 class Claim(Record, frozen=True):
-    """Give one attempt the sole right to run a keyed request, and keep its answer.
+    """Grant one attempt the exclusive right to run a keyed request, and store its answer.
 
-    deadline_ms is the time that the request had left at at_ms. kept is False for an answer
-    too large to keep.
+    deadline_ms is the request's remaining time at at_ms. kept is False if the answer is too large
+    to store.
     """
 
     attempt_id: str
--- a/packages/state/src/mimosaspur_state/requests.py
+++ b/packages/state/src/mimosaspur_state/requests.py
@@ -1,11 +1,11 @@
-"""Describe a caller's request on its way to a target."""
+"""Define a caller's request as it is sent to a target."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class RequestKind(Enum):
-    """Name what a request asks of a target."""
+    """Enumerate the kinds of requests."""
 
     CHAT = "chat"
     SERVICE = "service"
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Work:
-    """Hold what a target needs to run one request."""
+    """Hold the data that a target needs to run one request."""
 
     request_id: str
     kind: RequestKind
--- a/packages/state/src/mimosaspur_state/routes.py
+++ b/packages/state/src/mimosaspur_state/routes.py
@@ -1,4 +1,4 @@
-"""Hold the operators' routes and find the one that serves a request."""
+"""Define the operators' configuration and match requests to routes."""
 
 from dataclasses import dataclass
 from dataclasses import field
@@ -8,7 +8,7 @@
 
 
 class RouteKind(Enum):
-    """Say what a route's requests are and whether they may run more than once."""
+    """Enumerate the kinds of routes, which determine whether requests may be retried."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at_most_once"
@@ -17,27 +17,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """Describe where a route's requests go and what may be done for them."""
+    """Describe the services of a route and its limits."""
 
     name: str
     host: str
     prefix: str
     kind: RouteKind
-    # Names and weights: a request goes to one of them with a chance in proportion.
+    # Names and weights; a service is chosen at random in proportion to its weight.
     services: tuple[tuple[str, float], ...]
     timeout_ms: int
     objective_ms: int
-    # 0 is the most urgent.
+    # 0 is the highest priority.
     priority: int
     max_attempts: int
     resumable: bool = False
     gap_objective_ms: int = 0
-    # Whether callers need no credential.
+    # Whether requests are accepted without a credential.
     public: bool = False
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request that may have run may run again."""
+        """Return whether a request that may have run may be repeated."""
         return self.kind is RouteKind.IDEMPOTENT or (
             self.kind is RouteKind.STREAM and self.resumable
         )
@@ -45,15 +45,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ModelSpec:
-    """Describe a model that a service's engines may hold."""
+    """Describe a model that a service's engines can load."""
 
     name: str
     weights_mb: float
-    # Seconds a load takes from the weight store, the engine's own disk and its own memory.
+    # Load time from the weight store, the engine's disk and the engine's memory.
     load_s: float
     disk_load_s: float
     memory_load_s: float
-    # The names of its adapters.
     adapters: tuple[str, ...] = ()
     adapter_mb: float = 0.0
 
@@ -67,9 +66,9 @@
     weights_mb: float
     adapter_slots: int
     loads_per_s: float
-    # The engine's own disk, for copies of weights.
+    # Disk space of the engine for copies of weights.
     disk_mb: float
-    # The engine's memory for copies of weights.
+    # Memory of the engine for copies of weights.
     memory_mb: float
     models: dict[str, ModelSpec]
 
@@ -86,7 +85,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallerLimits:
-    """Bound what a caller may send and how long it may take or stay idle."""
+    """Limit the size of a caller's request and its timeouts."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -102,11 +101,11 @@
     routes: tuple[Route, ...]
     services: dict[str, ServiceSpec]
     limits: CallerLimits = CallerLimits()
-    # None where callers need no credentials.
+    # None if requests need no credentials.
     workspaces: tuple[Workspace, ...] | None = None
-    # Filled from routes: each host's routes, the longest prefix first.
+    # Derived from routes: the routes of each host, longest prefix first.
     by_host: dict[str, list[Route]] = field(init=False, repr=False, default_factory=dict)
-    # Filled from workspaces: by the digest of each API key, the digest again and who holds it.
+    # Derived from workspaces: digest of each API key -> the same digest and its workspace.
     by_credential: dict[bytes, tuple[bytes, Workspace]] = field(
         init=False, repr=False, default_factory=dict
     )
@@ -119,7 +118,7 @@
                 self.by_credential[digest] = digest, workspace
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of the path, if the host has one."""
+        """Return the host's route with the longest matching prefix, or None."""
         for route in self.by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
--- a/packages/state/src/mimosaspur_state/settings.py
+++ b/packages/state/src/mimosaspur_state/settings.py
@@ -1,4 +1,4 @@
-"""Read and check a daemon's settings: JSON with comments, every key known."""
+"""Read and validate a daemon's settings: JSON with comments; unknown keys are rejected."""
 
 from enum import Enum
 from pathlib import Path
@@ -11,32 +11,32 @@
 
 
 class Role(Enum):
-    """Name the roles of mimosaspurd."""
+    """Enumerate the roles of mimosaspurd."""
 
     ENTRY = "entry"
     TARGET = "target"
 
 
 class TargetKind(Enum):
-    """Name what stands behind a target."""
+    """Enumerate the kinds of back ends."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class Policy(Enum):
-    """Choose the decisions: ours, or the naive ones that measurements compare with."""
+    """Select the decision policy; the naive one is a baseline for measurements."""
 
     NORMAL = "normal"
     NAIVE = "naive"
 
 
 class _StrictStruct(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Refuse unknown keys."""
+    """Reject unknown keys."""
 
 
 class InstanceSettings(_StrictStruct, frozen=True):
-    """Say who this instance is; name, region and failure domain come from nowhere else."""
+    """Identify this instance."""
 
     name: str
     region: str
@@ -44,7 +44,7 @@
 
 
 class PlatformSettings(_StrictStruct, frozen=True):
-    """Say where the platform is and how much of it this instance may use."""
+    """Configure the platform's addresses and this instance's rate limits."""
 
     object_api: str
     instance_list: str
@@ -58,21 +58,21 @@
 
 
 class WeightStoreSettings(_StrictStruct, frozen=True):
-    """State the weight store's limits, which the planner keeps for the whole region."""
+    """Configure the weight store's limits, which the planner enforces for the region."""
 
     loads_per_second: float = 2
     at_once: int = 6
 
 
 class StatsdSettings(_StrictStruct, frozen=True):
-    """Say where metrics go."""
+    """Configure the statsd address."""
 
     host: str = "127.0.0.1"
     port: int = 8125
 
 
 class EntrySettings(_StrictStruct, frozen=True):
-    """Set up the role entry."""
+    """Configure the role entry."""
 
     listen: str
     workers: int = 96
@@ -89,7 +89,7 @@
 
 
 class PlannerSettings(_StrictStruct, frozen=True):
-    """Set up the planner duty; move_cost is the deadlines a move must earn to be made."""
+    """Configure the planner; move_cost is the number of requests that justify a move."""
 
     interval_ms: int = 1000
     lease_ms: int = 6000
@@ -104,7 +104,7 @@
 
 
 class TargetSettings(_StrictStruct, frozen=True):
-    """Set up the role target."""
+    """Configure the role target."""
 
     listen: str
     kind: TargetKind
@@ -124,7 +124,7 @@
 
 
 class PeerSettings(_StrictStruct, frozen=True):
-    """Set the timing of connections between our processes."""
+    """Configure the timing of connections between entries and targets."""
 
     heartbeat_ms: int = 1000
     silent_ms: int = 3000
@@ -132,7 +132,7 @@
 
 
 class Settings(_StrictStruct, frozen=True):
-    """Hold everything a daemon is told at its start."""
+    """Hold all settings of a daemon."""
 
     role: Role
     instance: InstanceSettings
@@ -167,7 +167,7 @@
 
 
 class SettingsError(MimosaspurError):
-    """Name the file, the key, what was expected and an example."""
+    """Raised for invalid settings; reports the file, key, expectation and an example."""
 
     def __init__(self, file: str, key: str, expected: str) -> None:
         example = EXAMPLES.get(key, "see docs/reference/settings.md")
@@ -179,7 +179,7 @@
 
 
 def load_settings(path: Path) -> Settings:
-    """Read and check a settings file; raise SettingsError."""
+    """Read and validate a settings file; raise SettingsError."""
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
@@ -188,8 +188,8 @@
 
 
 def settings_from_text(text: str, *, file: str) -> Settings:
-    """Check settings given as text; raise SettingsError."""
-    # The reader is needed once at the start, so only a start pays for it.
+    """Validate settings given as text; raise SettingsError."""
+    # Imported here since it is only needed at startup.
     import pyjson5
 
     try:
@@ -213,7 +213,7 @@
     host, _, port = address.rpartition(":")
     parts = host.split(".")
     if len(parts) != 4 or not all(part.isdigit() and int(part) < 256 for part in parts):
-        raise ValueError(f"{address!r} has no IP number")
+        raise ValueError(f"{address!r} has no IPv4 address")
     number = int(port)
     if not 0 <= number < 65536:
         raise ValueError(f"{address!r} has no port from 0 to 65535")
@@ -261,5 +261,5 @@
                 )
     entry = settings.entry
     if entry and entry.max_in_flight >= entry.workers:
-        # The surplus workers answer health checks and refusals while all others stream.
+        # The additional workers answer health checks and refusals while the others stream.
         raise SettingsError(file, "entry.workers", "a number above entry.max_in_flight")
--- a/packages/state/src/mimosaspur_state/workspaces.py
+++ b/packages/state/src/mimosaspur_state/workspaces.py
@@ -1,11 +1,11 @@
-"""Describe the workspaces on whose behalf callers ask, and what each of them may ask for."""
+"""Define workspaces, their credentials and their quotas."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class QuotaUnit(Enum):
-    """Say what a quota counts."""
+    """Enumerate the units of quotas."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
@@ -13,22 +13,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Quota:
-    """Bound what a workspace's callers may ask of all entries together, as a token bucket does."""
+    """Limit a workspace's use over all entries, as a token bucket."""
 
     unit: QuotaUnit
     per_s: float
     burst: float
-    # What a request without token counts costs where tokens are counted.
+    # Cost in tokens of a request without token counts.
     plain_cost: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class Workspace:
-    """Describe one workspace; of its API keys only digests are kept."""
+    """Describe one workspace; credentials are digests of its API keys."""
 
     name: str
     credentials: frozenset[bytes]
-    # Goes before the route's priority; None leaves that one in force.
+    # Overrides the route's priority unless None.
     priority: int | None = None
-    # None sets no bound.
+    # None is unlimited.
     quota: Quota | None = None
