--- a/features/frames.feature
+++ b/features/frames.feature
@@ -1,5 +1,5 @@
 Feature: Frames of earlier connections and attempts change no answer
-  The protocol between an entry and a target, each side against a scripted other.
+  Guards against corrupted or repeated answers after reconnects, with a scripted peer on each side.
 
   Scenario: Whatever frames come, an answer is whole or is not called so
     Then an attempt takes in any frames as a naive reassembly does
--- a/features/harness/frames_world.py
+++ b/features/harness/frames_world.py
@@ -1,4 +1,4 @@
-"""Stand in for both sides of the protocol between entries and targets."""
+"""Provide scripted peers for both sides of the protocol between entries and targets."""
 
 import contextlib
 import socket
@@ -28,18 +28,18 @@
 
 
 class ManualClock(SystemClock):
-    """Add what a step says to the machine's clock."""
+    """Advance the system clock by an offset that steps set."""
 
     def __init__(self) -> None:
         self.added_ms = 0
 
     def now_ms(self) -> int:
-        """Return monotonic time."""
+        """Return monotonic time plus the offset."""
         return super().now_ms() + self.added_ms
 
 
 class FakeServing:
-    """Remember the attempts that begin."""
+    """Record the attempts that are started."""
 
     draining = False
 
@@ -47,12 +47,12 @@
         self.started: list[RunningAttempt] = []
 
     def begin(self, attempt: RunningAttempt) -> None:
-        """Begin an attempt."""
+        """Record an attempt."""
         self.started.append(attempt)
 
 
 class ScriptedTarget:
-    """Play a target whose first connection has a bad habit."""
+    """Simulate a target whose first connection misbehaves as `habit` says."""
 
     def __init__(self, habit: str) -> None:
         self.habit = habit
@@ -95,7 +95,7 @@
             wire.send(Started(*ATTEMPT_KEY, 200, "text/plain", False))
         match habit:
             case "streams and never answers a Ping":
-                threading.Thread(target=self._trickle, args=(wire,), daemon=True).start()
+                threading.Thread(target=self._repeat_chunk, args=(wire,), daemon=True).start()
             case "ends in the middle":
                 wire.send(Chunk(*ATTEMPT_KEY, 0, ANSWER[:4]))
                 wire.close()
@@ -103,8 +103,8 @@
                 wire.send(Chunk(*ATTEMPT_KEY, offset, ANSWER[offset:]))
                 wire.send(End(*ATTEMPT_KEY, len(ANSWER)))
 
-    def _trickle(self, wire: Wire) -> None:
-        # A piece that says nothing new, again and again, as a long answer's pieces come.
+    def _repeat_chunk(self, wire: Wire) -> None:
+        # Repeats the same chunk, so that the connection stays active without heartbeats.
         with contextlib.suppress(ConnectionLost):
             while not self.stopped.wait(HEARTBEAT_MS / 1000):
                 wire.send(Chunk(*ATTEMPT_KEY, 0, ANSWER[:4]))
--- a/features/refusals.feature
+++ b/features/refusals.feature
@@ -1,5 +1,5 @@
 Feature: Refusals
-  What can't be done in time is refused at once, with when to come back, and never runs.
+  Guards against late refusals, refused requests that run, and unlimited retries.
 
   Scenario Outline: Admission refuses at once what it can't serve
     Given a site with one entry and a model target of 1 slot, a queue of <queue> and <service> ms a run
--- a/features/steps/frames_steps.py
+++ b/features/steps/frames_steps.py
@@ -1,4 +1,4 @@
-"""Steps that play one side of the protocol between entries and targets."""
+"""Steps that simulate one side of the protocol between entries and targets."""
 
 import queue
 import socket
@@ -80,13 +80,13 @@
         data = b"".join(event.data for event in passed if isinstance(event, Chunk))
         ends = [event for event in passed if isinstance(event, End | Failed)]
         assert (data, [type(end) for end in ends]) == reassemble(frames), passed
-        assert not ends or passed[-1:] == ends, "nothing may follow the end"
+        assert not ends or passed[-1:] == ends, "the attempt passed on events after the end"
 
     check()
 
 
 def drain_events(attempt: Attempt) -> list[Event]:
-    """Return what an attempt has passed on."""
+    """Return the events that an attempt has passed on."""
     events: list[Event] = []
     while not attempt.events.empty():
         events.append(attempt.events.get())
@@ -94,7 +94,7 @@
 
 
 def reassemble(frames: list[Event]) -> tuple[bytes, list[type]]:
-    """Put the bytes together one by one."""
+    """Reassemble the frames byte by byte."""
     data: list[int] = []
     for frame in frames:
         if isinstance(frame, Failed):
@@ -126,21 +126,21 @@
         residents=tuple,
     )
     context.connections = {}
-    context.far = {}
+    context.entry_wires = {}
 
 
 def open_connection(context: Context, number: int) -> None:
-    """Open an entry's connection and have the server greet it."""
+    """Open an entry's connection and complete the handshake."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        far = socket.create_connection(listener.getsockname())
-        near, _ = listener.accept()
-    context.connections[number] = EntryConnection(Wire(near, send_timeout_ms=SILENT_MS))
-    context.far[number] = Wire(far, send_timeout_ms=SILENT_MS)
+        entry_socket = socket.create_connection(listener.getsockname())
+        server_socket, _ = listener.accept()
+    context.connections[number] = EntryConnection(Wire(server_socket, send_timeout_ms=SILENT_MS))
+    context.entry_wires[number] = Wire(entry_socket, send_timeout_ms=SILENT_MS)
     handle(context, number, Hello("e", "x", number, 0))
 
 
 def handle(context: Context, number: int, message: Message) -> None:
-    """Have the server handle what came on a connection, as its task does."""
+    """Pass a message of a connection to the server, as its own task does."""
     context.server._handle(message, context.connections[number])
 
 
@@ -163,7 +163,7 @@
 
 
 def finish_all(serving: FakeServing) -> None:
-    """Make the answers of all that began."""
+    """Complete the answers of all started attempts."""
     for attempt in serving.started:
         attempt.start(200, "text/plain")
         attempt.add(ANSWER)
@@ -171,8 +171,8 @@
 
 
 def received(context: Context, number: int) -> list[Message]:
-    """Return what came to the entry on a connection."""
-    wire = context.far[number]
+    """Return the messages that the entry received on a connection, up to the last one."""
+    wire = context.entry_wires[number]
     messages: list[Message] = []
     while not messages or not isinstance(messages[-1], End | Failed | Refused):
         messages += wire.receive()
@@ -200,7 +200,7 @@
         handle(context, 1, Hello("e", "x", 1, 0))
     except ProtocolError:
         return
-    raise AssertionError("an older connection was let in")
+    raise AssertionError("the server accepted an older connection")
 
 
 @given("a scripted target whose first connection {habit}")
@@ -224,7 +224,7 @@
 
 @then("the answer comes whole over connection {number:d}")
 def check_link_answer(context: Context, number: int) -> None:
-    assert context.attempt, "nothing was sent"
+    assert context.attempt, "the link sent no request"
     data = b""
     event: Event | None = None
     try:
@@ -232,7 +232,7 @@
             event = context.attempt.events.get(timeout=TIMEOUT_S)
             data += event.data if isinstance(event, Chunk) else b""
     except queue.Empty:
-        raise AssertionError(f"no end came, only {data!r}") from None
+        raise AssertionError(f"the answer did not end; received {data!r}") from None
     finally:
         context.target.stopped.set()
         context.link.stop()
--- a/features/steps/refusals_steps.py
+++ b/features/steps/refusals_steps.py
@@ -1,4 +1,4 @@
-"""Steps of refusals: admission, retry storms, and the queue's order."""
+"""Steps for admission control, retry limits and queue order."""
 
 import threading
 from dataclasses import dataclass
@@ -87,46 +87,46 @@
 def _send_requests(context: Context, count: int, deadline_ms: int) -> None:
     address = context.site.daemons["entry-0"].public
     headers = {"X-Deadline-Ms": str(deadline_ms)}
-    context.asked = []
+    context.calls = []
     for number in range(count):
         call = chat_call(address, MODEL, f"gate {number}", max_tokens=MAX_TOKENS, headers=headers)
-        context.asked.append(call)
+        context.calls.append(call)
 
 
 @then("some are answered and the others refused within {bound:d} ms with {name}")
 def check_refused(context: Context, bound: int, name: str) -> None:
-    replies = [asked.wait() for asked in context.asked]
-    context.refused = [asked for asked in context.asked if asked.wait().status != 200]
+    replies = [call.wait() for call in context.calls]
+    context.refused = [call for call in context.calls if call.wait().status != 200]
     assert 0 < len(context.refused) < len(replies), [reply.status for reply in replies]
-    for asked in context.refused:
-        reply, error = asked.wait(), asked.wait().error()
+    for call in context.refused:
+        reply, error = call.wait(), call.wait().error()
         assert (error["name"], error["outcome"]) == (name, "not_run"), error
         assert int(reply.headers["retry-after"]) >= 1
-        assert asked.took_ms() < bound, (asked.took_ms(), error)
+        assert call.took_ms() < bound, (call.took_ms(), error)
 
 
 @then("none of the refused ran at the engines")
 def check_runs(context: Context) -> None:
     runs = context.site.engine_log("model-0")["runs"]
     ran = {run.rpartition("-")[0] for run in runs}
-    refused = {asked.wait().headers["x-request-id"] for asked in context.refused}
+    refused = {call.wait().headers["x-request-id"] for call in context.refused}
     assert refused and not ran & refused, ran & refused
-    answered = {asked.wait().headers["x-request-id"] for asked in context.asked} - refused
+    answered = {call.wait().headers["x-request-id"] for call in context.calls} - refused
     assert answered <= ran, answered - ran
 
 
 @then("the engines were asked at most {most:d} times")
 def check_asked(context: Context, most: int) -> None:
-    for asked in context.asked:
-        asked.wait()
+    for call in context.calls:
+        call.wait()
     count = sum(struck(started.address) for started in context.site.engines.values())
-    assert len(context.asked) <= count <= most, count
+    assert len(context.calls) <= count <= most, count
 
 
 @then("each request is told that its outcome is unknown")
 def check_unknown(context: Context) -> None:
-    for asked in context.asked:
-        error = asked.wait().error()
+    for call in context.calls:
+        error = call.wait().error()
         assert error["outcome"] == "unknown", error
         assert "Not run" not in error["message"], error
 
--- a/packages/protocol/src/mimosaspur_protocol/callerapi.py
+++ b/packages/protocol/src/mimosaspur_protocol/callerapi.py
@@ -1,4 +1,4 @@
-"""Read a caller's HTTP request into work, and shape what a caller is told."""
+"""Parse callers' HTTP requests and build their error responses."""
 
 import re
 from collections.abc import Mapping
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallerRequest:
-    """Hold a caller's request; target is as sent, header names are in lower case."""
+    """Hold a caller's request; target is as sent, header names are lower-case."""
 
     request_id: str
     method: str
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Deadlines:
-    """Bound the deadlines that callers may ask for, in milliseconds."""
+    """Limit the deadlines that callers may request."""
 
     default_ms: int
     max_ms: int
@@ -55,14 +55,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ParsedWork:
-    """Hold work ready to dispatch and the caller's deadline in milliseconds."""
+    """Hold work ready for dispatch and the caller's deadline."""
 
     work: Work
     deadline_ms: int
 
 
 def is_work(method: str, target: str) -> bool:
-    """Tell whether a request asks for work rather than for the entry's state."""
+    """Return whether a request is for a target rather than for the entry itself."""
     path = target.partition("?")[0]
     if path == CHAT_PATH:
         return method == "POST"
@@ -71,7 +71,7 @@
 
 
 def parse_work(request: CallerRequest, deadlines: Deadlines) -> ParsedWork:
-    """Check a request that is_work accepts; raise MimosaspurError."""
+    """Validate and parse a request that is_work accepts; raise MimosaspurError."""
     deadline_ms = _parse_deadline_ms(request.headers, deadlines)
     if request.target.partition("?")[0] == CHAT_PATH:
         return ParsedWork(_parse_chat(request), deadline_ms)
@@ -79,7 +79,7 @@
 
 
 def error_body(error: MimosaspurError, request_id: str) -> dict[str, Any]:
-    """Return the body that tells a caller of an error."""
+    """Return the response body for an error."""
     body: dict[str, Any] = {
         "message": str(error),
         "type": _error_type(error.code),
@@ -95,7 +95,7 @@
 
 
 def retry_after_ms(error: MimosaspurError) -> int | None:
-    """Return when to come back in milliseconds, or None when that wouldn't help."""
+    """Return the delay before a retry, or None if a retry is not useful."""
     if error.retry_after_ms is not None:
         return error.retry_after_ms
     if CODE_TABLE[error.code].next_step.startswith("Try"):
@@ -104,7 +104,7 @@
 
 
 def retry_after_s(error: MimosaspurError) -> int | None:
-    """Return retry_after_ms in whole seconds, rounded up, at least one."""
+    """Return retry_after_ms in whole seconds, rounded up, at least 1."""
     retry_ms = retry_after_ms(error)
     if retry_ms is None:
         return None
@@ -189,7 +189,7 @@
 def _check_max_tokens(value: object) -> None:
     if value is None:
         return
-    # A bool is an int to Python, but not to a caller.
+    # bool is a subclass of int.
     if isinstance(value, bool) or not isinstance(value, int) or value < 1:
         raise _bad_request('"max_tokens" must be a whole number above 0.')
 
@@ -217,7 +217,7 @@
     text = headers.get(IDEMPOTENT_HEADER)
     if text is not None and text not in _BOOLEANS:
         raise _bad_header("X-Mimosaspur-Idempotent must be true or false.")
-    # A key asks for at most one run, whatever else the caller says.
+    # A key requires at most one run and overrides the header.
     if IDEMPOTENCY_KEY_HEADER in headers:
         return False
     return default if text is None else _BOOLEANS[text]
--- a/packages/protocol/src/mimosaspur_protocol/codec.py
+++ b/packages/protocol/src/mimosaspur_protocol/codec.py
@@ -1,4 +1,4 @@
-"""Turn messages into msgpack frames and back."""
+"""Encode messages as msgpack frames and decode them."""
 
 from collections.abc import Iterator
 from typing import cast
@@ -15,17 +15,17 @@
 
 
 class ProtocolError(Exception):
-    """Say that the other end sent what no version of ours sends."""
+    """Raised when a peer sends an invalid frame or message."""
 
 
 def encode(message: Message) -> bytes:
-    """Return a message's frame: its type number and its fields."""
+    """Return the frame of a message: its type number and its fields."""
     fields = msgspec.to_builtins(message, builtin_types=(bytes,))
     return msgpack.packb([_TYPE_NUMBERS[type(message)], fields])
 
 
 class Decoder:
-    """Cut a stream of bytes into messages."""
+    """Decode a byte stream into messages."""
 
     __slots__ = ("unpacker",)
 
@@ -33,18 +33,18 @@
         self.unpacker = msgpack.Unpacker(max_buffer_size=MAX_FRAME_BYTES, raw=False)
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """Yield the messages that are whole now; raise ProtocolError."""
+        """Yield the messages that are now complete; raise ProtocolError."""
         try:
             self.unpacker.feed(data)
             for frame in self.unpacker:
                 yield _decode_message(frame)
         except (ValueError, msgpack.exceptions.UnpackException, msgpack.BufferFull) as error:
-            raise ProtocolError(f"bad frame: {error}") from error
+            raise ProtocolError(f"cannot decode frame: {error}") from error
 
 
 def _decode_message(frame: object) -> Message:
     if not isinstance(frame, list) or len(frame) != 2:
-        raise ProtocolError("a frame is a type number and fields")
+        raise ProtocolError("frame is not a list of a type number and fields")
     number, fields = frame
     if not isinstance(number, int) or not 0 <= number < len(MESSAGE_TYPES):
         raise ProtocolError(f"unknown message type {number!r}")
--- a/packages/protocol/src/mimosaspur_protocol/configurationcodec.py
+++ b/packages/protocol/src/mimosaspur_protocol/configurationcodec.py
@@ -1,4 +1,4 @@
-"""Encode a whole configuration for another entry, and decode it there."""
+"""Encode and decode a configuration that entries exchange."""
 
 import hashlib
 import zlib
@@ -13,10 +13,9 @@
 from mimosaspur_state.routes import ServiceSpec
 from mimosaspur_state.workspaces import Workspace
 
-# Links of entries may be thin, and the names in a configuration repeat themselves; more effort
-# saves little.
+# Names repeat in a configuration, so that higher levels save little.
 COMPRESSION_LEVEL = 1
-# What is unpacked is never larger: a broken peer must not take all memory.
+# Limit of the decompressed size, so that a faulty peer cannot exhaust memory.
 MAX_BODY_BYTES = 16_000_000
 
 
@@ -33,7 +32,7 @@
 
 
 def encode_configuration(configuration: Configuration) -> EncodedConfiguration:
-    """Return the message that passes a configuration on; of API keys it holds digests only."""
+    """Return the message for a configuration; it contains only digests of API keys."""
     body = _Body(
         configuration.version,
         configuration.routes,
@@ -45,20 +44,20 @@
     return EncodedConfiguration(configuration.version, _digest(packed), packed)
 
 
-def decode_configuration(told: EncodedConfiguration) -> Configuration:
-    """Return the configuration of a message; raise PeerProtocolError unless it is whole."""
-    if _digest(told.body) != told.digest:
-        raise PeerProtocolError("the configuration's digest is another one")
+def decode_configuration(message: EncodedConfiguration) -> Configuration:
+    """Return the configuration of a message; raise PeerProtocolError if it is not intact."""
+    if _digest(message.body) != message.digest:
+        raise PeerProtocolError("configuration digest does not match its body")
     try:
         unpacker = zlib.decompressobj()
-        encoded = unpacker.decompress(told.body, MAX_BODY_BYTES)
+        encoded = unpacker.decompress(message.body, MAX_BODY_BYTES)
         if not unpacker.eof:
-            raise PeerProtocolError("the configuration is cut off or too large")
+            raise PeerProtocolError("configuration is truncated or too large")
         body = _decoder.decode(encoded)
     except (zlib.error, msgspec.MsgspecError) as error:
-        raise PeerProtocolError(f"the configuration can't be read: {error}") from error
-    if body.version != told.version:
-        raise PeerProtocolError(f"version {body.version} came as version {told.version}")
+        raise PeerProtocolError(f"cannot decode configuration: {error}") from error
+    if body.version != message.version:
+        raise PeerProtocolError(f"body has version {body.version}, message {message.version}")
     return Configuration(body.version, body.routes, body.services, body.limits, body.workspaces)
 
 
--- a/packages/protocol/src/mimosaspur_protocol/eventbuffer.py
+++ b/packages/protocol/src/mimosaspur_protocol/eventbuffer.py
@@ -1,22 +1,21 @@
-"""Cut a relayed event stream at the ends of its events, so that no half event is passed on."""
+"""Buffer a relayed event stream, so that only complete events are passed on."""
 
 _BLANK_LINE = b"\n\n"
 _ID_FIELD = b"id:"
 
 
 class EventBuffer:
-    """Keep the begun event back, and the number of the last whole one."""
+    """Hold back an incomplete event and track the id of the last complete one."""
 
     __slots__ = ("incomplete", "last_id")
 
     def __init__(self, last_id: int | None) -> None:
         self.incomplete = b""
-        # The number of the last whole event, None before the first: a resumed stream goes on
-        # after it.
+        # A resumed stream continues after this event; None before the first.
         self.last_id = last_id
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events; those that came before already are left out."""
+        """Return the complete events, without those already passed on; raise EventMissing."""
         text = self.incomplete + data
         end = text.rfind(_BLANK_LINE)
         if end < 0:
@@ -27,11 +26,11 @@
         return b"".join(self._new_events(text[:end]))
 
     def discard_incomplete(self) -> None:
-        """Drop the begun event: the stream goes on from its start at another target."""
+        """Discard the incomplete event, which another target sends again from its start."""
         self.incomplete = b""
 
     def _new_events(self, text: bytes) -> list[bytes]:
-        kept = []
+        new = []
         for block in text.split(_BLANK_LINE)[:-1]:
             number = event_number(block)
             if number is not None:
@@ -41,19 +40,19 @@
                     if number != self.last_id + 1:
                         raise EventMissing(self.last_id, number)
                 self.last_id = number
-            kept.append(block + _BLANK_LINE)
-        return kept
+            new.append(block + _BLANK_LINE)
+        return new
 
 
 class EventMissing(Exception):
-    """Say that a stream goes on after a gap."""
+    """Raised when an event id is not the successor of the previous one."""
 
     def __init__(self, last_id: int, number: int) -> None:
-        super().__init__(f"event {number} came after {last_id}")
+        super().__init__(f"received event {number} after event {last_id}")
 
 
 def event_number(block: bytes) -> int | None:
-    """Return an event's number, None when it has none."""
+    """Return the numeric id of an event, or None if it has none."""
     for line in block.split(b"\n"):
         if line.startswith(_ID_FIELD):
             value = line[len(_ID_FIELD) :].strip()
--- a/packages/protocol/src/mimosaspur_protocol/messages.py
+++ b/packages/protocol/src/mimosaspur_protocol/messages.py
@@ -13,8 +13,8 @@
 class Hello:
     """Open a connection (entry to target).
 
-    `connection` grows with every connection of one incarnation, so that a target drops what
-    still arrives on an older one.
+    `connection` increases with each connection of one incarnation, so that a target can reject
+    messages from older connections.
     """
 
     instance: str
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Welcome:
-    """Answer Hello: who the target is and what it can serve now."""
+    """Answer Hello with the target's identity and what it can serve now."""
 
     instance: str
     incarnation: str
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Submit:
-    """Hand a request to a target; deadline_ms is what is left of the caller's time."""
+    """Submit a request to a target; deadline_ms is the caller's remaining time."""
 
     attempt: int
     generation: int
@@ -47,10 +47,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Resume:
-    """Ask, on a new connection, for an attempt's answer from an offset in bytes.
+    """Request an attempt's answer from a byte offset on a new connection.
 
-    `incarnation` is the target's when the attempt was submitted: the same one that doesn't
-    know the attempt never got it; another one can't tell.
+    `incarnation` is the target's at the time of the submit. If it is unchanged and the target has
+    no record of the attempt, it never received it; after a restart the outcome is unknown.
     """
 
     incarnation: str
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Say that nobody waits for the answer any more: the entry has it whole, or gave it up."""
+    """Release an answer that the entry has received completely or no longer needs."""
 
     request_id: str
     attempt: int
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refused:
-    """Say that an attempt was not run and never will be."""
+    """Report that an attempt was not run and never will be."""
 
     request_id: str
     attempt: int
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Started:
-    """Open an answer: the status and content type that the engine or service gave."""
+    """Start an answer with the status and content type of the engine or service."""
 
     request_id: str
     attempt: int
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Chunk:
-    """Carry a piece of an answer; offset is in bytes from the answer's start."""
+    """Carry a part of an answer; offset is in bytes from the answer's start."""
 
     request_id: str
     attempt: int
@@ -100,7 +100,7 @@
 
 @dataclass(slots=True, frozen=True)
 class End:
-    """Close a whole answer; total is its length in bytes."""
+    """Complete an answer; total is its length in bytes."""
 
     request_id: str
     attempt: int
@@ -109,7 +109,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Failed:
-    """Close an answer that can't be completed."""
+    """Abort an answer that cannot be completed."""
 
     request_id: str
     attempt: int
@@ -120,7 +120,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ping:
-    """Ask for a sign of life (entry to target)."""
+    """Request a heartbeat (entry to target)."""
 
     sequence: int
     generation: int
@@ -138,28 +138,28 @@
 
 @dataclass(slots=True, frozen=True)
 class Draining:
-    """Tell an entry to send this target nothing new."""
+    """Ask an entry to send no new requests to this target."""
 
     instance: str
 
 
 @dataclass(slots=True, frozen=True)
 class Residents:
-    """Tell an entry what the target can serve now, whenever that changes."""
+    """Report what the target can serve now, after each change."""
 
     residents: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class BundleRequest:
-    """Ask whoever is ahead for the bundle in force (either way)."""
+    """Request the bundle in force from a peer with a newer one (either direction)."""
 
     have: int
 
 
 @dataclass(slots=True, frozen=True)
 class BundleOffer:
-    """Hand over the bundle in force, as JSON text packed with zlib."""
+    """Send the bundle in force as zlib-compressed JSON."""
 
     generation: int
     packed: bytes = field(repr=False)
@@ -167,7 +167,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Generation:
-    """Tell an entry that a generation is in force here."""
+    """Report the generation in force at the target."""
 
     generation: int
 
--- a/packages/protocol/src/mimosaspur_protocol/peermessages.py
+++ b/packages/protocol/src/mimosaspur_protocol/peermessages.py
@@ -1,4 +1,4 @@
-"""Define what entries and their coordinator tell one another, as length-prefixed msgpack."""
+"""Define the messages between entries and their coordinator, as length-prefixed msgpack."""
 
 import msgspec
 
@@ -7,23 +7,23 @@
 
 
 class TargetWork(msgspec.Struct, array_like=True, frozen=True):
-    """Hold what one entry, or all entries, have at a target."""
+    """Count the work of one entry, or of all entries, at a target."""
 
     target: str
     requests: int
-    # Prompt tokens still to be read, by rank.
+    # Prompt tokens before the first output token, by rank.
     prefill_tokens: dict[int, int]
     held_tokens: int
     by_model: dict[str, int]
 
 
 class ModelDemandUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """Hold what callers asked of a model since the last report, and how many wait for it now."""
+    """Report the demand for a model since the last report and the requests waiting now."""
 
     model: str
     tokens: int
     waiting: int
-    # The shortest time to a first event among these requests' routes; 0 without requests.
+    # Shortest time-to-first-event objective of these requests' routes; 0 without requests.
     objective_ms: int
 
 
@@ -36,7 +36,7 @@
 
 
 class ModelPaceUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """Hold how long a model's tokens take beside a common model's, and the measurements of it."""
+    """Report a model's cost per token relative to a typical model, and its measurement count."""
 
     model: str
     factor: float
@@ -44,7 +44,7 @@
 
 
 class QuotaSpending(msgspec.Struct, array_like=True, frozen=True):
-    """Tell what an entry spent of a workspace's quota since its last report, and refused."""
+    """Report a workspace's quota spent and refused at an entry since its last report."""
 
     workspace: str
     spent: float
@@ -52,29 +52,29 @@
 
 
 class EntryReport(msgspec.Struct, array_like=True, tag="entry"):
-    """Tell the coordinator what an entry does."""
+    """Report an entry's state to the coordinator."""
 
     instance: str
-    # Counts the entry's reports from 1 on.
+    # Sequence number of the entry's reports, from 1.
     number: int
     work: list[TargetWork]
     model_demand: list[ModelDemandUpdate]
-    # Model and adapter of requests that wait for the adapter.
+    # Model and adapter of requests waiting for the adapter.
     waiting_adapters: list[tuple[str, str]]
-    # Targets to which no connection could be opened since the last report.
+    # Targets to which connecting failed since the last report.
     unreachable: list[str]
     adapter_demand: list[AdapterDemandUpdate] = msgspec.field(default_factory=list)
-    # Paces that have changed since the last report.
+    # Changes since the last report.
     paces: list[ModelPaceUpdate] = msgspec.field(default_factory=list)
-    # Whether it takes no new callers, since it is about to end.
+    # Whether the entry is shutting down and accepts no new callers.
     leaving: bool = False
-    # The version of the configuration that is in force there, 0 without one.
+    # 0 if the entry has no configuration.
     configuration_version: int = 0
     quotas: list[QuotaSpending] = msgspec.field(default_factory=list)
 
 
 class EngineResidents(msgspec.Struct, array_like=True, frozen=True):
-    """Hold what an engine holds, and which of its models are about to go."""
+    """Report an engine's models and adapters, and the models about to be unloaded."""
 
     target: str
     models: dict[str, list[str]]
@@ -82,7 +82,7 @@
 
 
 class TargetRegistration(msgspec.Struct, array_like=True, frozen=True):
-    """Hold what a target registered of itself, but for what it holds."""
+    """Hold a target's registration, without its residents."""
 
     identity: str
     service: str
@@ -95,20 +95,20 @@
 
 
 class StoreUpdate(msgspec.Struct, array_like=True):
-    """Tell what the coordinator reads in the store, so that others needn't."""
+    """Share the coordinator's view of the store, so that entries need not read it."""
 
-    # How long ago the store last confirmed what is told here.
+    # Time since the store last confirmed this data.
     age_ms: int
-    # The store's revision up to which changes of targets are told.
+    # Store revision that the targets reflect.
     revision: int
-    # Whether these are all targets, or those that have changed.
+    # Whether `targets` is the full list rather than the changes.
     is_complete: bool
     targets: list[TargetRegistration]
     removed: list[str]
 
 
 class QuotaRemaining(msgspec.Struct, array_like=True, frozen=True):
-    """Tell what is left of a workspace's quota, and what a second asks of it, over all entries."""
+    """Report a workspace's remaining quota and its demand per second, over all entries."""
 
     workspace: str
     remaining: float
@@ -116,57 +116,55 @@
 
 
 class ReportAck(msgspec.Struct, array_like=True, tag="counted"):
-    """Tell an entry which of its reports the next fleet report counts in."""
+    """Acknowledge the entry's reports that the next fleet report includes."""
 
-    # For the work at targets.
     work_report_number: int
-    # For what is left of quotas.
     quota_report_number: int = 0
 
 
 class FleetReport(msgspec.Struct, array_like=True, tag="fleet"):
-    """Tell entries what changed: all entries' work, and what engines hold.
+    """Report changes of the work of all entries and of engines' residents.
 
-    It is the same for all entries, so that it is put together and encoded once. Each entry takes
-    its own work off, as it stood in the report that was counted in.
+    The message is the same for all entries, so that it is encoded once. Each entry subtracts its
+    own work as of the report that was acknowledged.
     """
 
     token: int
-    # Whether the coordinator may give orders; if not, another should take over.
+    # Whether the coordinator may issue orders; if not, another entry should take over.
     can_issue_orders: bool
     entry_count: int
-    # The work at targets, or at those where it has changed.
+    # Work at all targets, or at those with changes.
     work: list[TargetWork]
     residents: list[EngineResidents]
-    # Milliseconds until a model that is being loaded is expected.
+    # Estimated time until each loading model is ready.
     model_ready_in_ms: dict[str, int]
-    # Paces that have changed since the last report, over all entries.
+    # Changes since the last report, over all entries.
     paces: list[ModelPaceUpdate] = msgspec.field(default_factory=list)
-    # Entries that stay, the one that is told among them if it does.
+    # Number of entries that are not leaving, including the recipient.
     staying_count: int = 0
     store: StoreUpdate | None = None
-    # The version of the newest configuration, 0 if none is known.
+    # Newest known version; 0 if none.
     configuration_version: int = 0
-    # Quotas of which another rest is left than entries expect.
+    # Quotas whose remainder differs from the entries' estimate.
     quotas: list[QuotaRemaining] = msgspec.field(default_factory=list)
-    # Entries that the bound on repeats is divided by; 0 while that isn't known.
+    # Number of entries that share the retry limit; 0 if unknown.
     sharer_count: int = 0
 
 
 class StepDown(msgspec.Struct, array_like=True, tag="leaving"):
-    """Tell entries that the coordinator gives no more orders; the age of its last one."""
+    """Announce that the coordinator issues no more orders, with the age of its last one."""
 
     last_order_age_ms: int
 
 
 class LeaseReadRequest(msgspec.Struct, array_like=True, tag="prove"):
-    """Ask an entry to read the lease in the coordinator's place; `asked_ms` comes back."""
+    """Ask an entry to read the lease for the coordinator; the reply echoes requested_ms."""
 
     requested_ms: int
 
 
 class LeaseReadReply(msgspec.Struct, array_like=True, tag="proof"):
-    """Tell the coordinator who held the lease when an entry read it, if it could read it."""
+    """Report the lease holder that an entry read, if the store was reachable."""
 
     instance: str
     requested_ms: int
@@ -176,13 +174,13 @@
 
 
 class ConfigurationRequest(msgspec.Struct, array_like=True, tag="wanted"):
-    """Ask for the configuration of somebody who has told of a newer one."""
+    """Request the configuration of a peer that has reported a newer version."""
 
     known_version: int
 
 
 class EncodedConfiguration(msgspec.Struct, array_like=True, tag="configuration"):
-    """Pass on a whole configuration, encoded, with a digest of what is encoded."""
+    """Carry an encoded configuration and the digest of its body."""
 
     version: int
     digest: bytes
@@ -205,17 +203,17 @@
 
 
 class PeerProtocolError(Exception):
-    """Say that the other end sent what no version of ours sends."""
+    """Raised when a peer sends an invalid message."""
 
 
 def encode_peer(message: PeerMessage) -> bytes:
-    """Return a message's frame."""
+    """Return the frame of a message: its length and its body."""
     body = _encoder.encode(message)
     return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
 def decode_peer(body: bytes) -> PeerMessage:
-    """Return the message of a frame's body; raise PeerProtocolError."""
+    """Decode the body of a frame; raise PeerProtocolError."""
     try:
         return _decoder.decode(body)
     except msgspec.MsgspecError as error:
--- a/packages/protocol/src/mimosaspur_protocol/sse.py
+++ b/packages/protocol/src/mimosaspur_protocol/sse.py
@@ -1,4 +1,4 @@
-"""Read an engine's server-sent events and write a caller's."""
+"""Parse an engine's server-sent events and encode those for callers."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -13,14 +13,14 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineEvent:
-    """Hold one event; number is 0 when the engine gave none."""
+    """Hold one event; number is 0 if the engine sent no id."""
 
     number: int
     data: bytes
 
 
 class EventReader:
-    """Cut a stream of bytes into events."""
+    """Parse a byte stream into events."""
 
     __slots__ = ("buffer",)
 
@@ -28,7 +28,7 @@
         self.buffer = b""
 
     def feed(self, data: bytes) -> Iterator[EngineEvent]:
-        """Yield the events that are whole now."""
+        """Yield the events that are now complete."""
         self.buffer += data.replace(b"\r\n", b"\n")
         *blocks, self.buffer = self.buffer.split(_BLANK_LINE)
         for block in blocks:
@@ -51,14 +51,14 @@
 
 
 def event_for_caller(data: bytes, model: str) -> bytes:
-    """Return an engine's chunk as a caller's event, under the name the caller used."""
+    """Return an engine's chunk as a caller's event with the model name that the caller used."""
     chunk = msgspec.json.decode(data)
     chunk["model"] = model
     return b"data: " + msgspec.json.encode(chunk) + _BLANK_LINE
 
 
 class CompletionBuilder:
-    """Join an engine's chunks into one chat completion."""
+    """Combine an engine's chunks into one chat completion."""
 
     __slots__ = ("finish_reason", "first_chunk", "text", "usage")
 
@@ -69,7 +69,7 @@
         self.usage: Any = None
 
     def add_chunk(self, data: bytes) -> None:
-        """Take in one chunk."""
+        """Add one chunk."""
         chunk = msgspec.json.decode(data)
         self.first_chunk = self.first_chunk or chunk
         self.usage = chunk.get("usage") or self.usage
@@ -78,7 +78,7 @@
             self.finish_reason = choice.get("finish_reason") or self.finish_reason
 
     def body(self, model: str) -> bytes:
-        """Return the completion as JSON, under the name the caller used."""
+        """Return the completion as JSON with the model name that the caller used."""
         message = {"role": "assistant", "content": "".join(self.text)}
         choice = {"index": 0, "message": message, "finish_reason": self.finish_reason}
         completion = {
