--- a/features/harness/frames_world.py
+++ b/features/harness/frames_world.py
@@ -46,7 +46,7 @@
     def __init__(self) -> None:
         self.started: list[RunningAttempt] = []
 
-    def begin(self, attempt: RunningAttempt) -> None:
+    def start(self, attempt: RunningAttempt) -> None:
         """Record an attempt."""
         self.started.append(attempt)
 
--- a/features/steps/frames_steps.py
+++ b/features/steps/frames_steps.py
@@ -75,7 +75,7 @@
     def check(frames: list[Event]) -> None:
         attempt = Attempt(SUBMIT, "i")
         for frame in frames:
-            attempt.take(frame)
+            attempt.on_event(frame)
         passed = drain_events(attempt)
         data = b"".join(event.data for event in passed if isinstance(event, Chunk))
         ends = [event for event in passed if isinstance(event, End | Failed)]
@@ -114,7 +114,7 @@
     assert parsed.target
     context.clock = ManualClock()
     context.serving = FakeServing()
-    context.registry = AttemptRegistry(context.clock, keep_ms=RETENTION_MS)
+    context.registry = AttemptRegistry(context.clock, retention_ms=RETENTION_MS)
     context.server = TargetServer(
         parsed,
         parsed.target,
@@ -166,8 +166,8 @@
     """Complete the answers of all started attempts."""
     for attempt in serving.started:
         attempt.start(200, "text/plain")
-        attempt.add(ANSWER)
-        attempt.end()
+        attempt.append(ANSWER)
+        attempt.finish()
 
 
 def received(context: Context, number: int) -> list[Message]:
--- a/features/steps/refusals_steps.py
+++ b/features/steps/refusals_steps.py
@@ -102,7 +102,7 @@
         reply, error = call.wait(), call.wait().error()
         assert (error["name"], error["outcome"]) == (name, "not_run"), error
         assert int(reply.headers["retry-after"]) >= 1
-        assert call.took_ms() < bound, (call.took_ms(), error)
+        assert call.duration_ms() < bound, (call.duration_ms(), error)
 
 
 @then("none of the refused ran at the engines")
