--- a/features/steps/direct_bounds_steps.py
+++ b/features/steps/direct_bounds_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the bounds on repeats, avoided targets, relayed events and logs."""
+"""Steps for the limits on repeats, avoided targets, relayed events and the event log."""
 
 import json
 import os
@@ -100,7 +100,7 @@
     def check(count: int, broken_after: int, cuts: list[int]) -> None:
         events = [b"id: %d\ndata: e%d\n\n" % (n, n) for n in range(1, count + 1)]
         cutter = EventBuffer(None)
-        # The first run breaks off inside an event; the next one goes on after the last whole one.
+        # The first stream breaks inside an event; the next one resumes after the last whole event.
         first = b"".join(events)[: broken_after * 9]
         relayed = b"".join(cutter.feed(piece) for piece in _pieces(first, cuts))
         cutter.discard_incomplete()
@@ -122,10 +122,10 @@
 
 @given("an event log that nobody reads")
 def make_log(context: Context) -> None:
-    reading, writing = os.pipe()
-    context.add_cleanup(os.close, reading)
-    context.add_cleanup(os.close, writing)
-    context.log = EventLog("entry-0", clock=ManualClock(500), fd=writing)
+    read_end, write_end = os.pipe()
+    context.add_cleanup(os.close, read_end)
+    context.add_cleanup(os.close, write_end)
+    context.log = EventLog("entry-0", clock=ManualClock(500), fd=write_end)
 
 
 @when("{count:d} events are written within a second")
@@ -149,10 +149,10 @@
     return b"".join(b"id: %d\ndata: x\n\n" % number for number in range(first, last + 1))
 
 
-@given("the events 1 to {had:d} of a stream were relayed")
-def relay_first(context: Context, had: int) -> None:
+@given("the events 1 to {last:d} of a stream were relayed")
+def relay_first(context: Context, last: int) -> None:
     context.cutter = EventBuffer(None)
-    context.relayed = context.cutter.feed(_events(1, had))
+    context.relayed = context.cutter.feed(_events(1, last))
 
 
 @when("the next target sends the events {first:d} to 9")
