--- a/features/harness/atmostonce_world.py
+++ b/features/harness/atmostonce_world.py
@@ -19,7 +19,7 @@
 ENTRIES = ("entry-0", "entry-1")
 WORK_MS = 400
 DEADLINE_MS = 2500
-MS = 1000
+MS_PER_SECOND = 1000
 
 
 @dataclass(slots=True)
@@ -33,19 +33,19 @@
         """Return the reply once it has ended."""
         return self.call.wait()
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         """Close the caller's connection."""
         assert self.call.connection.sock
         self.call.leave()
 
 
 @dataclass(slots=True)
-class Desk:
+class BookingWorld:
     """Make bookings at a site and count their runs at the services."""
 
     site: Site
     bookings: list[Booking] = field(default_factory=list)
-    runs_of_the_dead: dict[str, int] = field(default_factory=dict)
+    killed_service_runs: dict[str, int] = field(default_factory=dict)
 
     def book(
         self, body: str, *, entry: str = "entry-0", key: str = "", deadline_ms: int = DEADLINE_MS
@@ -60,42 +60,42 @@
         self.bookings.append(made)
         return made
 
-    def last(self) -> Reply:
+    def last_reply(self) -> Reply:
         """Return the reply to the last booking."""
         return self.bookings[-1].wait()
 
     def runs(self, body: str) -> int:
         """Count a body's runs at all services, those of a killed one included."""
-        logs = [self.site.service_log(name) for name in self.living_services()]
+        logs = [self.site.service_log(name) for name in self.running_services()]
         living: int = sum(log["by_body"].get(body, 0) for log in logs)
-        return self.runs_of_the_dead.get(body, 0) + living
+        return self.killed_service_runs.get(body, 0) + living
 
-    def ran(self, body: str) -> bool:
+    def has_run(self, body: str) -> bool:
         """Tell whether a body ran."""
         return self.runs(body) > 0
 
-    def living_entry(self) -> str:
+    def running_entry(self) -> str:
         """Return an entry whose process lives."""
-        entries = (name for name in ENTRIES if self.lives(name))
+        entries = (name for name in ENTRIES if self.is_running(name))
         return next(entries)
 
-    def lives(self, name: str) -> bool:
+    def is_running(self, name: str) -> bool:
         """Tell whether a daemon's process lives."""
         return self.site.daemons[name].started.process.poll() is None
 
-    def living_services(self) -> Iterator[str]:
+    def running_services(self) -> Iterator[str]:
         """Yield the services whose process lives."""
         for name, started in self.site.services.items():
             if started.process.poll() is None:
                 yield name
 
-    def living_targets(self) -> Iterator[str]:
+    def running_targets(self) -> Iterator[str]:
         """Yield the targets whose process lives."""
         for name in TARGETS:
-            if self.lives(name):
+            if self.is_running(name):
                 yield name
 
-    def runner_of(self, body: str) -> str:
+    def target_that_ran(self, body: str) -> str:
         """Return the target beside the service that ran a body."""
         return next(
             name for name in self.site.services if self.site.service_log(name)["by_body"].get(body)
@@ -103,9 +103,9 @@
 
     def kill_services(self) -> None:
         """Kill the services, but remember what they ran."""
-        for name in list(self.living_services()):
+        for name in list(self.running_services()):
             for body, count in self.site.service_log(name)["by_body"].items():
-                self.runs_of_the_dead[body] = self.runs_of_the_dead.get(body, 0) + count
+                self.killed_service_runs[body] = self.killed_service_runs.get(body, 0) + count
             kill(self.site.services[name])
 
     def start_services(self) -> None:
@@ -116,17 +116,17 @@
             options = ("--address", old.address, "--work-ms", str(WORK_MS))
             self.site.services[name] = self.site.processes.start_stand_in("service", *options)
 
-    def await_end(self) -> None:
+    def await_idle(self) -> None:
         """Wait until each target that lives says that nothing waits or runs there any more."""
-        for name in self.living_targets():
+        for name in self.running_targets():
             beat = self._status(name)["beat"]
             wait_for(partial(self._idle_since, name, beat), f"{name} is idle")
 
-    def check_told(self, booking: Booking) -> None:
+    def check_reported_outcome(self, booking: Booking) -> None:
         """Check what a caller was told against the count of runs."""
         reply, runs = booking.wait(), self.runs(booking.body)
         assert runs <= 1, f"{booking.body} ran {runs} times"
-        told = told_of(reply)
+        told = reported_outcome(reply)
         if told in ("answer", "done"):
             assert runs == 1, f"{booking.body}: {told}, but it ran {runs} times"
         if told == "not_run":
@@ -145,7 +145,7 @@
         return status["beat"] > beat + 1 and not status["active"] and not status["queued"]
 
 
-def told_of(reply: Reply) -> str:
+def reported_outcome(reply: Reply) -> str:
     """Name what a caller was told: answer, nothing, or an outcome."""
     if reply.broken or not reply.status:
         return "nothing"
--- a/features/steps/atmostonce_key_steps.py
+++ b/features/steps/atmostonce_key_steps.py
@@ -10,8 +10,8 @@
 
 from harness.atmostonce_world import ENTRIES
 from harness.atmostonce_world import TARGETS
-from harness.atmostonce_world import Desk
-from harness.atmostonce_world import told_of
+from harness.atmostonce_world import BookingWorld
+from harness.atmostonce_world import reported_outcome
 from harness.caller import Reply
 from harness.control import UNTIL_CLEARED
 from harness.control import add_fault
@@ -25,41 +25,41 @@
 
 ANY_CLAIM = "/objects/claims"
 SLOW_MS = 500
-AT_ONCE_MS = 1000
-PATIENCE_S = 1.6
+MAX_REFUSAL_MS = 1000
+DEADLINE_WAIT_S = 1.6
 DAY_MS = 86_400_000
 OPTIONS: dict[str, dict[str, Any]] = {"slow": {"delay_ms": SLOW_MS}}
 
 
 @when('the key "{key}" books "{body}" through "{entry}"')
 def book_keyed(context: Context, key: str, body: str, entry: str) -> None:
-    context.desk.book(body, entry=entry, key=key).wait()
+    context.world.book(body, entry=entry, key=key).wait()
 
 
 @when('the key "{key}" begins to book "{body}" through "{entry}"')
 def begin_keyed(context: Context, key: str, body: str, entry: str) -> None:
-    context.desk.book(body, entry=entry, key=key)
-    wait_for(partial(context.desk.ran, body), f"{body} runs")
+    context.world.book(body, entry=entry, key=key)
+    wait_for(partial(context.world.has_run, body), f"{body} runs")
 
 
 @when('the key "{key}" begins to book "{body}" through "{entry}" within {deadline:d} ms')
 def begin_slow(context: Context, key: str, body: str, entry: str, deadline: int) -> None:
-    context.desk.book(body, entry=entry, key=key, deadline_ms=deadline)
-    wait_for(lambda: struck(context.desk.site.api) > 0, "the claim is asked for")
+    context.world.book(body, entry=entry, key=key, deadline_ms=deadline)
+    wait_for(lambda: struck(context.world.site.api) > 0, "the claim is asked for")
 
 
 @when('the key "{key}" books "{body}" {count:d} times at once through both entries')
 def book_at_once(context: Context, key: str, body: str, count: int) -> None:
-    desk = context.desk
+    world = context.world
     context.group = [
-        desk.book(body, entry=ENTRIES[number % len(ENTRIES)], key=key) for number in range(count)
+        world.book(body, entry=ENTRIES[number % len(ENTRIES)], key=key) for number in range(count)
     ]
 
 
 @when('the key "{key}" books a text of {size:d} bytes through "{entry}"')
 def book_text(context: Context, key: str, size: int, entry: str) -> None:
     context.long_text = "x" * size
-    context.desk.book(context.long_text, entry=entry, key=key).wait()
+    context.world.book(context.long_text, entry=entry, key=key).wait()
 
 
 @then("one of them was answered and the others were told it is in progress or its answer")
@@ -77,46 +77,46 @@
 
 @then('"{body}" ran {count:d} times')
 def check_runs(context: Context, body: str, count: int) -> None:
-    context.desk.await_end()
-    assert context.desk.runs(body) == count, context.desk.runs(body)
+    context.world.await_idle()
+    assert context.world.runs(body) == count, context.world.runs(body)
 
 
 @then("the text ran {count:d} times")
 def check_text(context: Context, count: int) -> None:
-    assert context.desk.runs(context.long_text) == count, context.desk.runs(context.long_text)
+    assert context.world.runs(context.long_text) == count, context.world.runs(context.long_text)
 
 
 @then("it was a replay")
 def check_replay(context: Context) -> None:
-    assert context.desk.last().headers.get("idempotent-replayed") == "true"
+    assert context.world.last_reply().headers.get("idempotent-replayed") == "true"
 
 
 @then("the booking was refused as not run with {name}")
 def check_refused(context: Context, name: str) -> None:
-    check_error(context.desk.last(), name, "not_run")
+    check_error(context.world.last_reply(), name, "not_run")
 
 
 @then("the booking's outcome is {outcome} with {name}")
 def check_outcome(context: Context, outcome: str, name: str) -> None:
-    check_error(context.desk.last(), name, outcome)
+    check_error(context.world.last_reply(), name, outcome)
 
 
 @then("the booking's outcome is unknown")
 def check_unknown(context: Context) -> None:
-    reply = context.desk.last()
-    assert told_of(reply) == "unknown", (reply.status, reply.body)
+    reply = context.world.last_reply()
+    assert reported_outcome(reply) == "unknown", (reply.status, reply.body)
 
 
 @then("keyed bookings are refused so under each outage of the claims, and run once after it:")
 def check_outages(context: Context) -> None:
-    desk = context.desk
+    world = context.world
     for row in table_of(context):
         order_claims_fault(context, row["fault"])
         for key in ("first", "second"):
-            desk.book(f"{key} {row['fault']}", key=f"{key}-{row['fault']}").wait()
-            check_error(desk.last(), "PLATFORM_DOWN", "not_run")
-            assert int(desk.last().headers["retry-after"]) >= 1
-            took_ms = desk.bookings[-1].call.took_ms()
+            world.book(f"{key} {row['fault']}", key=f"{key}-{row['fault']}").wait()
+            check_error(world.last_reply(), "PLATFORM_DOWN", "not_run")
+            assert int(world.last_reply().headers["retry-after"]) >= 1
+            took_ms = world.bookings[-1].call.took_ms()
             assert took_ms <= int(row[key]), (row["fault"], key, took_ms)
         order_claims_fault(context, "nothing")
         for key in ("first", "second"):
@@ -127,12 +127,12 @@
 
 @when('the claim of "{key}" is older than its request\'s deadline')
 def age_claim(context: Context, key: str) -> None:
-    _age(context.desk, key, DAY_MS)
+    _age(context.world, key, DAY_MS)
 
 
 @when("the object API's claims suffer {fault}")
 def order_claims_fault(context: Context, fault: str) -> None:
-    api = context.desk.site.api
+    api = context.world.site.api
     clear_faults(api)
     if fault != "nothing":
         more = OPTIONS.get(fault, {})
@@ -141,59 +141,61 @@
 
 @when("the services start again")
 def start_services(context: Context) -> None:
-    context.desk.start_services()
+    context.world.start_services()
 
 
 @then('the key "{key}" is answered when it books "{body}" again')
 def book_again(context: Context, key: str, body: str) -> None:
     def answered() -> bool:
-        reply = context.desk.book(body, entry="entry-1", key=key).wait()
-        return told_of(reply) == "answer"
+        reply = context.world.book(body, entry="entry-1", key=key).wait()
+        return reported_outcome(reply) == "answer"
 
     # What it is told meanwhile invites to try again: not run, or in progress.
     wait_for(answered, f"{key} is answered")
 
 
 @when("the targets are frozen until it has been claimed and its deadline has passed")
-def freeze_claimer(context: Context) -> None:
-    desk = context.desk
+def pause_targets_past_deadline(context: Context) -> None:
+    world = context.world
     # The claim takes effect while the answer to it waits at the frozen target.
     for name in TARGETS:
-        desk.site.pause(name)
-    store = desk.site.store()
+        world.site.pause(name)
+    store = world.site.store()
     wait_for(lambda: store.get(keys.claim("k")) is not None, "the claim stands")
-    desk.last()
-    wait_for(lambda: monotonic() > desk.bookings[-1].call.sent_at + PATIENCE_S, "the deadline")
+    world.last_reply()
+    wait_for(
+        lambda: monotonic() > world.bookings[-1].call.sent_at + DEADLINE_WAIT_S, "the deadline"
+    )
 
 
 @when("the frozen targets go on")
-def wake_claimer(context: Context) -> None:
+def resume_targets(context: Context) -> None:
     for name in TARGETS:
-        context.desk.site.go_on(name)
+        context.world.site.go_on(name)
 
 
 @then('the claim of "{key}" is released')
 def check_released(context: Context, key: str) -> None:
-    store = context.desk.site.store()
+    store = context.world.site.store()
     wait_for(lambda: store.get(keys.claim(key)) is None, f"the claim of {key} is released")
 
 
 @when("the targets may write {rate:d} times a second")
 def limit_writes(context: Context, rate: int) -> None:
-    site = context.desk.site
+    site = context.world.site
     for name in TARGETS:
         site.kill(name)
         site.daemons[name].settings["platform"]["writes_per_second"] = rate
         site.restart(name)
     for entry in ENTRIES:
-        served = partial(_served, context.desk, entry)
+        served = partial(_served, context.world, entry)
         wait_for(served, f"{entry} reaches the targets")
 
 
 @when("{count:d} keyed bookings come at once")
 def book_many(context: Context, count: int) -> None:
-    desk = context.desk
-    context.group = [desk.book(f"many {number}", key=f"{number}") for number in range(count)]
+    world = context.world
+    context.group = [world.book(f"many {number}", key=f"{number}") for number in range(count)]
 
 
 @then("some were answered and the others refused at once as not run with {name}")
@@ -204,33 +206,33 @@
     for booking, reply in refused:
         check_error(reply, name, "not_run")
         assert reply.headers["retry-after"]
-        assert booking.call.took_ms() < AT_ONCE_MS, booking.call.took_ms()
+        assert booking.call.took_ms() < MAX_REFUSAL_MS, booking.call.took_ms()
 
 
 @when("the second target is killed")
 def kill_second(context: Context) -> None:
-    context.desk.site.kill(TARGETS[1])
+    context.world.site.kill(TARGETS[1])
 
 
 @then("all are refused at once as not run with {name}")
 def check_all_refused(context: Context, name: str) -> None:
     for booking in context.group:
         check_error(booking.wait(), name, "not_run")
-        assert booking.call.took_ms() < AT_ONCE_MS, booking.call.took_ms()
+        assert booking.call.took_ms() < MAX_REFUSAL_MS, booking.call.took_ms()
 
 
 @then("each that was answered ran once and no other")
 def check_each(context: Context) -> None:
-    context.desk.await_end()
+    context.world.await_idle()
     for booking in context.group:
-        context.desk.check_told(booking)
+        context.world.check_reported_outcome(booking)
 
 
 @when("{old:d} claims are old and {new:d} are new")
 def make_claims(context: Context, old: int, new: int) -> None:
-    desk = context.desk
-    desk.book("kept", key="new-0").wait()
-    store = desk.site.store()
+    world = context.world
+    world.book("kept", key="new-0").wait()
+    store = world.site.store()
     found = store.get(keys.claim("new-0"))
     aged = {**found.value, "at_ms": found.value["at_ms"] - 2 * DAY_MS}
     for number in range(1, new):
@@ -242,7 +244,7 @@
 
 @then("a sweep removes at most {most:d} claims a step and the old ones within {steps:d} steps")
 def check_sweep(context: Context, most: int, steps: int) -> None:
-    store = context.desk.site.store()
+    store = context.world.site.store()
     sweep = ClaimSweep(
         store, SystemClock(), retention_ms=DAY_MS, page_size=most, holds_lease=lambda: True
     )
@@ -256,12 +258,12 @@
 
 @when("the claim of a new one is older than a day")
 def age_new(context: Context) -> None:
-    _age(context.desk, "new-1", 2 * DAY_MS)
+    _age(context.world, "new-1", 2 * DAY_MS)
 
 
 @then("the planner's entry removes it")
 def check_swept(context: Context) -> None:
-    store = context.desk.site.store()
+    store = context.world.site.store()
     wait_for(lambda: store.get(keys.claim("new-1")) is None, "the old claim is gone")
     assert store.get(keys.claim("new-2")) is not None
 
@@ -273,12 +275,12 @@
     assert outcome == "not_run" or "Not run" not in error["message"], error
 
 
-def _age(desk: Desk, key: str, by_ms: int) -> None:
-    store = desk.site.store()
+def _age(world: BookingWorld, key: str, by_ms: int) -> None:
+    store = world.site.store()
     found = store.get(keys.claim(key))
     assert found
     store.update(found.key, {**found.value, "at_ms": found.value["at_ms"] - by_ms}, found.version)
 
 
-def _served(desk: Desk, entry: str) -> bool:
-    return told_of(desk.book("ready again?", entry=entry).wait()) == "answer"
+def _served(world: BookingWorld, entry: str) -> bool:
+    return reported_outcome(world.book("ready again?", entry=entry).wait()) == "answer"
--- a/features/steps/atmostonce_steps.py
+++ b/features/steps/atmostonce_steps.py
@@ -11,12 +11,12 @@
 
 from harness.atmostonce_world import DEADLINE_MS
 from harness.atmostonce_world import ENTRIES
-from harness.atmostonce_world import MS
+from harness.atmostonce_world import MS_PER_SECOND
 from harness.atmostonce_world import SERVICE
 from harness.atmostonce_world import TARGETS
 from harness.atmostonce_world import WORK_MS
-from harness.atmostonce_world import Desk
-from harness.atmostonce_world import told_of
+from harness.atmostonce_world import BookingWorld
+from harness.atmostonce_world import reported_outcome
 from harness.control import UNTIL_CLEARED
 from harness.control import add_fault
 from harness.control import clear_faults
@@ -27,23 +27,23 @@
 
 CLAIMS = "PUT /objects/claims"
 SLOW_MS = 600
-AWAITED = "it is sent"
+BEFORE_SENDING = "it is sent"
 
 
 @given('a site with two entries and two targets of the service "bookings"')
-def start_desk(context: Context) -> None:
+def start_site(context: Context) -> None:
     start(context, service_relay=True)
 
 
 @given('a site with two entries and two targets right beside the service "bookings"')
-def start_direct_desk(context: Context) -> None:
+def start_site_without_service_relay(context: Context) -> None:
     start(context, service_relay=False)
 
 
 def start(context: Context, *, service_relay: bool) -> None:
     """Start the site; a relay can't say that nothing listens behind it."""
     site = begin_site(context)
-    context.desk = Desk(site)
+    context.world = BookingWorld(site)
     for name in TARGETS:
         work = ("--work-ms", str(WORK_MS))
         site.service_target(
@@ -54,96 +54,96 @@
     site.await_targets()
     site.roll("first", [], (SERVICE,))
     for name in ENTRIES:
-        wait_for(partial(_serves, context.desk, name), f"{name} reaches {SERVICE}")
+        wait_for(partial(_serves, context.world, name), f"{name} reaches {SERVICE}")
 
 
-def _serves(desk: Desk, entry: str) -> bool:
-    return told_of(desk.book("ready?", entry=entry).wait()) == "answer"
+def _serves(world: BookingWorld, entry: str) -> bool:
+    return reported_outcome(world.book("ready?", entry=entry).wait()) == "answer"
 
 
-def _each_relay(prefix: str, mode: str) -> Callable[[Desk], None]:
-    def set_mode(desk: Desk) -> None:
+def _each_relay(prefix: str, mode: str) -> Callable[[BookingWorld], None]:
+    def set_mode(world: BookingWorld) -> None:
         for target in TARGETS:
-            desk.site.relays[f"{prefix}{target}"].mode(mode)
+            world.site.relays[f"{prefix}{target}"].mode(mode)
 
     return set_mode
 
 
-def _each_service(kind: str, **fault: object) -> Callable[[Desk], None]:
-    def order(desk: Desk) -> None:
-        for started in desk.site.services.values():
+def _each_service(kind: str, **fault: object) -> Callable[[BookingWorld], None]:
+    def order(world: BookingWorld) -> None:
+        for started in world.site.services.values():
             add_fault(started.address, kind, match="/run", count=UNTIL_CLEARED, **fault)
 
     return order
 
 
-def _one_claim(kind: str, **fault: object) -> Callable[[Desk], None]:
-    def order(desk: Desk) -> None:
-        add_fault(desk.site.api, kind, match=CLAIMS, count=1, **fault)
+def _one_claim(kind: str, **fault: object) -> Callable[[BookingWorld], None]:
+    def order(world: BookingWorld) -> None:
+        add_fault(world.site.api, kind, match=CLAIMS, count=1, **fault)
 
     return order
 
 
-def _kill_targets(desk: Desk) -> None:
+def _kill_targets(world: BookingWorld) -> None:
     for name in TARGETS:
-        desk.site.kill(name)
+        world.site.kill(name)
 
 
-def _restart_targets(desk: Desk) -> None:
-    _kill_targets(desk)
+def _restart_targets(world: BookingWorld) -> None:
+    _kill_targets(world)
     for name in TARGETS:
-        desk.site.restart(name)
+        world.site.restart(name)
 
 
-def _freeze_targets(desk: Desk) -> None:
+def _pause_targets_past_deadline(world: BookingWorld) -> None:
     for name in TARGETS:
-        desk.site.pause(name)
-    for booking in desk.bookings:
+        world.site.pause(name)
+    for booking in world.bookings:
         booking.wait()
-    wait_for(lambda: _past_deadline(desk), "the deadline has passed")
+    wait_for(lambda: _past_deadline(world), "the deadline has passed")
     for name in TARGETS:
-        desk.site.go_on(name)
+        world.site.go_on(name)
 
 
-def _past_deadline(desk: Desk) -> bool:
-    return monotonic() > desk.bookings[-1].call.sent_at + DEADLINE_MS / MS
+def _past_deadline(world: BookingWorld) -> bool:
+    return monotonic() > world.bookings[-1].call.sent_at + DEADLINE_MS / MS_PER_SECOND
 
 
-def _pause_targets(desk: Desk) -> None:
+def _pause_targets(world: BookingWorld) -> None:
     for name in TARGETS:
-        desk.site.pause(name)
+        world.site.pause(name)
 
 
-def _leave(desk: Desk) -> None:
-    for booking in desk.bookings[-2:]:
-        booking.leave()
+def _disconnect_callers(world: BookingWorld) -> None:
+    for booking in world.bookings[-2:]:
+        booking.disconnect()
 
 
-def _kill_runner(desk: Desk) -> None:
-    desk.site.kill(desk.runner_of(desk.bookings[-1].body))
+def _kill_running_target(world: BookingWorld) -> None:
+    world.site.kill(world.target_that_ran(world.bookings[-1].body))
 
 
-FAULTS: dict[str, Callable[[Desk], None]] = {
-    "the callers' connections are cut": lambda desk: desk.site.relays["entry-0"].mode("cut"),
-    "the callers leave": _leave,
-    "the entry is killed": lambda desk: desk.site.kill("entry-0"),
+FAULTS: dict[str, Callable[[BookingWorld], None]] = {
+    "the callers' connections are cut": lambda world: world.site.relays["entry-0"].mode("cut"),
+    "the callers leave": _disconnect_callers,
+    "the entry is killed": lambda world: world.site.kill("entry-0"),
     "the targets' connections are cut": _each_relay("", "cut"),
     "the targets' connections freeze": _each_relay("", "freeze"),
     "the targets' answers freeze": _each_relay("", "freeze_answers"),
     "the targets can't be reached": _each_relay("", "refuse"),
     "the targets are killed": _kill_targets,
     "the targets are killed and start again": _restart_targets,
-    "the targets are frozen past the deadline": _freeze_targets,
-    "the target that runs it is killed": _kill_runner,
+    "the targets are frozen past the deadline": _pause_targets_past_deadline,
+    "the target that runs it is killed": _kill_running_target,
     "the services' connections are cut": _each_relay("service of ", "cut"),
     "the services' connections freeze": _each_relay("service of ", "freeze"),
-    "the services are killed": Desk.kill_services,
+    "the services are killed": BookingWorld.kill_services,
     "the services drop them": _each_service("drop"),
     "the services lose their answers": _each_service("lose_answer"),
     "the services hang": _each_service("hang"),
     "the services are slow": _each_service("slow", delay_ms=SLOW_MS),
-    "the services are down": Desk.kill_services,
-    "the services are down behind a relay": Desk.kill_services,
+    "the services are down": BookingWorld.kill_services,
+    "the services are down behind a relay": BookingWorld.kill_services,
     "the targets are down": _kill_targets,
     "the targets are frozen": _pause_targets,
     "one claim is dropped": _one_claim("drop"),
@@ -155,13 +155,13 @@
 
 
 @when("this strikes them: {fault}")
-def strike(context: Context, fault: str) -> None:
-    FAULTS[fault](context.desk)
+def inject_fault(context: Context, fault: str) -> None:
+    FAULTS[fault](context.world)
 
 
 @when("this awaits the bookings: {fault}")
-def await_fault(context: Context, fault: str) -> None:
-    FAULTS[fault](context.desk)
+def inject_fault_first(context: Context, fault: str) -> None:
+    FAULTS[fault](context.world)
 
 
 @then("bookings with a key and without one end so under each fault:")
@@ -169,63 +169,68 @@
     wrong = []
     for number, row in enumerate(table_of(context)):
         try:
-            _check_fault(context.desk, f"{number}", row["when"], row["fault"], row["told"])
+            _check_fault(context.world, f"{number}", row["when"], row["fault"], row["told"])
         except AssertionError as error:
             wrong.append(f"{row['fault']}: {error}")
-        _mend(context.desk)
+        _restore_site(context.world)
     assert not wrong, "\n".join(wrong)
 
 
-def _check_fault(desk: Desk, number: str, moment: str, fault: str, told: str) -> None:
-    if moment == AWAITED:
-        FAULTS[fault](desk)
-    entry = desk.living_entry()
-    plain = desk.book(f"plain {number}", entry=entry)
-    pair = [plain, desk.book(f"keyed {number}", entry=entry, key=f"key-{number}")]
-    if moment != AWAITED:
+def _check_fault(world: BookingWorld, number: str, moment: str, fault: str, told: str) -> None:
+    if moment == BEFORE_SENDING:
+        FAULTS[fault](world)
+    entry = world.running_entry()
+    plain = world.book(f"plain {number}", entry=entry)
+    pair = [plain, world.book(f"keyed {number}", entry=entry, key=f"key-{number}")]
+    if moment != BEFORE_SENDING:
         for booking in pair:
-            wait_for(partial(desk.ran, booking.body), f"{booking.body} runs")
-        FAULTS[fault](desk)
+            wait_for(partial(world.has_run, booking.body), f"{booking.body} runs")
+        FAULTS[fault](world)
     for booking in pair:
         reply = booking.wait()
-        assert told_of(reply) == told, (booking.body, told_of(reply), reply.status, reply.body)
-        desk.check_told(booking)
-    for name in desk.living_targets():
-        desk.site.go_on(name)
+        assert reported_outcome(reply) == told, (
+            booking.body,
+            reported_outcome(reply),
+            reply.status,
+            reply.body,
+        )
+        world.check_reported_outcome(booking)
+    for name in world.running_targets():
+        world.site.go_on(name)
     # Whatever is still in flight must not make a lie of what was told.
-    desk.await_end()
+    world.await_idle()
     for booking in pair:
-        desk.check_told(booking)
+        world.check_reported_outcome(booking)
 
 
-def _mend(desk: Desk) -> None:
-    site = desk.site
+def _restore_site(world: BookingWorld) -> None:
+    site = world.site
     for relay in site.relays.values():
         relay.mode("pass")
     for name in TARGETS:
-        if not desk.lives(name):
+        if not world.is_running(name):
             site.restart(name)
         site.go_on(name)
-    desk.start_services()
+    world.start_services()
     clear_faults(site.api)
-    for name in desk.site.services:
+    for name in world.site.services:
         clear_faults(site.services[name].address)
-    entry = desk.living_entry()
-    wait_for(partial(_serves, desk, entry), f"{entry} reaches {SERVICE}")
+    entry = world.running_entry()
+    wait_for(partial(_serves, world, entry), f"{entry} reaches {SERVICE}")
 
 
 @when("the services answer with status {status:d}")
 def order_status(context: Context, status: int) -> None:
-    _each_service("error", status=status)(context.desk)
+    _each_service("error", status=status)(context.world)
 
 
 @then("the booking was answered with status {status:d}")
 def check_status(context: Context, status: int) -> None:
-    reply = context.desk.last()
+    reply = context.world.last_reply()
     assert reply.status == status, (reply.status, reply.body)
 
 
 @then("the services were called {count:d} times")
 def check_calls(context: Context, count: int) -> None:
-    services = context.desk.site.services.values()
+    services = context.world.site.services.values()
     assert sum(struck(started.address) for started in services) == count
--- a/features/steps/frames_steps.py
+++ b/features/steps/frames_steps.py
@@ -75,7 +75,7 @@
     def check(frames: list[Event]) -> None:
         attempt = Attempt(SUBMIT, "i")
         for frame in frames:
-            attempt.take(frame)
+            attempt.on_event(frame)
         passed = drained(attempt)
         data = b"".join(event.data for event in passed if isinstance(event, Chunk))
         ends = [event for event in passed if isinstance(event, End | Failed)]
--- a/packages/daemon/src/mimosaspur_daemon/direct/attempt.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/attempt.py
@@ -13,11 +13,11 @@
 from mimosaspur_daemon.direct.targetheaders import target_headers
 from mimosaspur_protocol.eventcut import EventMissing
 from mimosaspur_state.routes import RouteKind
-from mimosaspur_transport.dialect import end_to_end
+from mimosaspur_transport.dialect import end_to_end_headers
 from mimosaspur_transport.dialect import header
-from mimosaspur_transport.httpchannel import AnswerHead
 from mimosaspur_transport.httpchannel import ChannelBroken
 from mimosaspur_transport.httpchannel import HttpChannel
+from mimosaspur_transport.httpchannel import ResponseHead
 
 if TYPE_CHECKING:
     from mimosaspur_daemon.direct.requesthandler import RequestHandler
@@ -180,30 +180,30 @@
             raise TimeoutError
 
     async def _read_body(self) -> bytes:
-        return await self.channel.rest(MAX_RESPONSE_BYTES)
+        return await self.channel.read_body(MAX_RESPONSE_BYTES)
 
-    async def _read_own_head(self) -> AnswerHead:
+    async def _read_own_head(self) -> ResponseHead:
         """Return the head of the answer to this request; others may come before it."""
         name = self.handler.state.dependencies.dialect.request_id
         mine = header(self.handler.request.headers, name)
         while True:
-            head = await self.channel.head()
+            head = await self.channel.read_head()
             theirs = header(head.headers, name)
             if theirs is None or mine is None or theirs == mine:
                 return head
-            await self.channel.skip_answer()
+            await self.channel.skip_response()
 
-    def _is_not_run(self, head: AnswerHead) -> bool:
+    def _is_not_run(self, head: ResponseHead) -> bool:
         dialect = self.handler.state.dependencies.dialect
         return head.status == 421 or header(head.headers, dialect.not_run) is not None
 
-    def _is_authentic(self, head: AnswerHead) -> bool:
+    def _is_authentic(self, head: ResponseHead) -> bool:
         """Tell whether a success is the target's own."""
         proof = self.handler.state.dependencies.dialect.proof
         encoded = header(head.headers, b"content-encoding")
         return not encoded and (not proof or header(head.headers, proof) is not None)
 
-    async def _forward_whole(self, head: AnswerHead) -> AttemptResult:
+    async def _forward_whole(self, head: ResponseHead) -> AttemptResult:
         journey = self.handler
         body = await self._read_with_timeout(self._read_body(), self._silence_timeout_s())
         if head.status < 400 and not self._is_authentic(head):
@@ -219,7 +219,7 @@
         journey.record_duration(self.sent_s)
         return AttemptResult.DONE
 
-    async def _forward_stream(self, head: AnswerHead) -> AttemptResult:
+    async def _forward_stream(self, head: ResponseHead) -> AttemptResult:
         journey = self.handler
         if not self._is_authentic(head):
             raise ChannelBroken("the answer is not the target's")
@@ -232,7 +232,7 @@
                     self._record_first_token()
                     self._record_pause(before, journey.cutter.last_id)
                     await self._start_response(head)
-                    await journey.caller.send(events)
+                    await journey.caller.send_chunk(events)
         except EventMissing as error:
             raise ChannelBroken(str(error)) from error
         if await self._was_moved():
@@ -241,8 +241,8 @@
             return AttemptResult.MOVED
         await self._start_response(head)
         if journey.cutter.begun:
-            await journey.caller.send(journey.cutter.begun)
-        await journey.caller.finish()
+            await journey.caller.send_chunk(journey.cutter.begun)
+        await journey.caller.end_response()
         self.view.health.record_success()
         lasted_ms = (asyncio.get_running_loop().time() - self.first_token_s) * 1000
         if self.first_token:
@@ -250,12 +250,12 @@
         journey.record_duration(self.first_token_s or self.sent_s)
         return AttemptResult.DONE
 
-    async def _start_response(self, head: AnswerHead) -> None:
+    async def _start_response(self, head: ResponseHead) -> None:
         journey = self.handler
         if not journey.started:
             journey.started = True
-            headers = end_to_end(head.headers)
-            await journey.caller.start(head.status, headers, close=journey.state.leaving)
+            headers = end_to_end_headers(head.headers)
+            await journey.caller.send_head(head.status, headers, close=journey.state.leaving)
 
     async def _read_chunk(self) -> bytes | None:
         limit_s = self._stall_timeout_s() if self.first_token else self._silence_timeout_s()
@@ -263,7 +263,7 @@
             try:
                 # A read that was cancelled has taken nothing, and may begin again.
                 async with asyncio.timeout(limit_s):
-                    return await self.channel.piece()
+                    return await self.channel.read_chunk()
             except TimeoutError:
                 self._raise_if_replaceable()
 
--- a/packages/daemon/src/mimosaspur_daemon/direct/callers.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/callers.py
@@ -16,9 +16,9 @@
 from mimosaspur_state.routes import Route
 from mimosaspur_transport.callerconnection import BadRequest
 from mimosaspur_transport.callerconnection import CallerConnection
-from mimosaspur_transport.callerconnection import CallerGone
+from mimosaspur_transport.callerconnection import CallerDisconnected
 from mimosaspur_transport.callerconnection import CallerRequest
-from mimosaspur_transport.callerconnection import WatchedReader
+from mimosaspur_transport.callerconnection import EofNotifyingReader
 from mimosaspur_transport.dialect import Headers
 from mimosaspur_transport.dialect import header
 
@@ -50,7 +50,7 @@
         host, port = self.state.settings.callers_address
 
         def protocol() -> asyncio.StreamReaderProtocol:
-            reader = WatchedReader(loop)
+            reader = EofNotifyingReader(loop)
             return asyncio.StreamReaderProtocol(reader, self._on_connection, loop=loop)
 
         self.server = await loop.create_server(
@@ -59,12 +59,12 @@
 
     def in_flight(self) -> int:
         """Return the number of requests that are being answered."""
-        return sum(connection.answering for connection in self.connections)
+        return sum(connection.answer_pending for connection in self.connections)
 
     def close_idle(self) -> None:
         """Close the connections that carry no request."""
         for connection in self.connections:
-            if connection.idle_s() >= MIN_IDLE_S:
+            if connection.idle_duration_s() >= MIN_IDLE_S:
                 connection.close()
 
     def end_requests(self) -> None:
@@ -83,14 +83,14 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        assert isinstance(reader, WatchedReader)
+        assert isinstance(reader, EofNotifyingReader)
         connection = CallerConnection(reader, writer, limits=self._limits())
         self.connections.add(connection)
         try:
             await self._serve_requests(connection)
         except BadRequest as error:
             await self._refuse_malformed(connection, error)
-        except CallerGone:
+        except CallerDisconnected:
             connection.abort()
         finally:
             self.connections.discard(connection)
@@ -105,7 +105,7 @@
             if not await self._answer_until_disconnect(connection, request):
                 connection.abort()
                 return
-            if not connection.next_cycle():
+            if not connection.start_next_cycle():
                 return
 
     async def _answer_until_disconnect(
@@ -113,7 +113,7 @@
     ) -> bool:
         """Answer a request; tell whether the caller got all of it."""
         task = asyncio.get_running_loop().create_task(self._answer(connection, request))
-        connection.reader.on_gone = lambda: _cancel(task)
+        connection.reader.on_disconnect = lambda: _cancel(task)
         if connection.reader.at_eof() or connection.reader.exception():
             task.cancel()
         try:
@@ -125,7 +125,7 @@
                 raise
             return False
         finally:
-            connection.reader.on_gone = None
+            connection.reader.on_disconnect = None
 
     async def _answer(self, connection: CallerConnection, request: CallerRequest) -> bool:
         try:
@@ -188,13 +188,15 @@
             headers.append((b"Retry-After", b"%g" % refusal.retry_after_s))
         info = CODE_TABLE[refusal.code]
         body = f"{refusal.code.value} {info.meaning} {info.next_step}\n".encode()
-        await connection.answer(refusal.status, headers, body, close=self.state.leaving)
+        await connection.send_response(refusal.status, headers, body, close=self.state.leaving)
 
     async def _refuse_malformed(self, connection: CallerConnection, error: BadRequest) -> None:
         self.state.log.write("bad_request", status=error.status, detail=error.detail)
         try:
-            await connection.answer(error.status, [], f"{error.detail}\n".encode(), close=True)
-        except CallerGone:
+            await connection.send_response(
+                error.status, [], f"{error.detail}\n".encode(), close=True
+            )
+        except CallerDisconnected:
             connection.abort()
 
     def _log(self, request: CallerRequest, refusal: RequestFailed, *, started: bool) -> None:
--- a/packages/daemon/src/mimosaspur_daemon/direct/election.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/election.py
@@ -324,5 +324,5 @@
         age_ms = self.lease.clock.now_ms() - max(self.started_ms, self.lease.last_order_ms)
         with contextlib.suppress(PeerLost):
             link.send(StepDown(age_ms))
-            await link.flushed()
+            await link.finish_sending()
         link.close()
--- a/packages/daemon/src/mimosaspur_daemon/direct/requesthandler.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/requesthandler.py
@@ -22,11 +22,11 @@
 from mimosaspur_state.workspaces import Workspace
 from mimosaspur_transport.callerconnection import CallerConnection
 from mimosaspur_transport.callerconnection import CallerRequest
-from mimosaspur_transport.channelpool import FRESH_MS
-from mimosaspur_transport.dialect import end_to_end
+from mimosaspur_transport.channelpool import NON_REPEATABLE_MAX_IDLE_MS
+from mimosaspur_transport.dialect import end_to_end_headers
 from mimosaspur_transport.dialect import header
-from mimosaspur_transport.httpchannel import AnswerHead
 from mimosaspur_transport.httpchannel import ChannelBroken
+from mimosaspur_transport.httpchannel import ResponseHead
 
 # Targets are asked so often at most for one request, the refusals of targets included.
 MAX_OFFERS = 6
@@ -135,7 +135,7 @@
         # Why the last attempt broke.
         self.cause = ""
         # A target's own failure, to be passed on if nothing better comes.
-        self.failure: tuple[AnswerHead, bytes] | None = None
+        self.failure: tuple[ResponseHead, bytes] | None = None
 
     async def run(self) -> None:
         """Answer the request; raise GivenUp with the answer of our own."""
@@ -258,9 +258,9 @@
         self, view: TargetView, continued: MovedRun | None = None
     ) -> AttemptResult:
         pool = self.state.pool(view.record)
-        max_idle_ms = None if self.route.repeatable else FRESH_MS
+        max_idle_ms = None if self.route.repeatable else NON_REPEATABLE_MAX_IDLE_MS
         try:
-            channel, _ = await pool.take(max_idle_ms=max_idle_ms)
+            channel, _ = await pool.acquire(max_idle_ms=max_idle_ms)
         except ChannelBroken:
             view.health.record_unreachable()
             self.state.unreachable.add(view.record.identity)
@@ -280,17 +280,17 @@
             self.attempt = None
             # A connection whose answer wasn't read to its end must not be used again, and closing
             # it is what tells the target to stop.
-            if finished and channel.sent_all():
-                pool.give_back(channel)
+            if finished and channel.is_fully_sent():
+                pool.release(channel)
             else:
                 pool.discard(channel)
         return result
 
-    async def forward_response(self, head: AnswerHead, body: bytes) -> None:
+    async def forward_response(self, head: ResponseHead, body: bytes) -> None:
         """Send a target's whole answer to the caller."""
         self.started = True
-        await self.caller.answer(
-            head.status, end_to_end(head.headers), body, close=self.state.leaving
+        await self.caller.send_response(
+            head.status, end_to_end_headers(head.headers), body, close=self.state.leaving
         )
 
     def _pace(self) -> float:
--- a/packages/daemon/src/mimosaspur_daemon/direct/statusserver.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/statusserver.py
@@ -6,9 +6,9 @@
 from mimosaspur_state.routes import CallerLimits
 from mimosaspur_transport.callerconnection import BadRequest
 from mimosaspur_transport.callerconnection import CallerConnection
-from mimosaspur_transport.callerconnection import CallerGone
+from mimosaspur_transport.callerconnection import CallerDisconnected
 from mimosaspur_transport.callerconnection import CallerRequest
-from mimosaspur_transport.callerconnection import WatchedReader
+from mimosaspur_transport.callerconnection import EofNotifyingReader
 
 METRICS_PATH = "/metrics"
 
@@ -25,7 +25,7 @@
         loop = asyncio.get_running_loop()
 
         def protocol() -> asyncio.StreamReaderProtocol:
-            return asyncio.StreamReaderProtocol(WatchedReader(loop), self._serve, loop=loop)
+            return asyncio.StreamReaderProtocol(EofNotifyingReader(loop), self._serve, loop=loop)
 
         settings = self.state.settings
         addresses = [settings.ready_address]
@@ -35,17 +35,17 @@
             self.servers.append(await loop.create_server(protocol, *address))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        assert isinstance(reader, WatchedReader)
+        assert isinstance(reader, EofNotifyingReader)
         connection = CallerConnection(reader, writer, limits=CallerLimits())
         try:
             while (request := await connection.next_request()) is not None:
                 status, body = self._answer(request)
-                await connection.answer(status, [], body, close=False)
-                if not connection.next_cycle():
+                await connection.send_response(status, [], body, close=False)
+                if not connection.start_next_cycle():
                     break
         except BadRequest as error:
             self.state.log.write("bad_request", address="ready", detail=error.detail)
-        except CallerGone:
+        except CallerDisconnected:
             pass
         finally:
             connection.close()
--- a/packages/daemon/src/mimosaspur_daemon/direct/targetheaders.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/targetheaders.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 
 from mimosaspur_transport.dialect import Headers
-from mimosaspur_transport.dialect import end_to_end
+from mimosaspur_transport.dialect import end_to_end_headers
 
 if TYPE_CHECKING:
     from mimosaspur_daemon.direct.attempt import Attempt
@@ -18,7 +18,7 @@
         replaced |= {dialect.credential}
     if journey.started:
         replaced |= {dialect.last_event_id}
-    headers = end_to_end(journey.request.headers, replaced)
+    headers = end_to_end_headers(journey.request.headers, replaced)
     left_ms = max(1, int((journey.deadline_s - attempt.sent_s) * 1000))
     headers.append((dialect.deadline_ms, b"%d" % left_ms))
     headers.append((dialect.expected_identity, attempt.view.record.identity.encode()))
--- a/packages/daemon/src/mimosaspur_daemon/instancefollower.py
+++ b/packages/daemon/src/mimosaspur_daemon/instancefollower.py
@@ -77,4 +77,4 @@
         hints = list(self.directory.hints.values())
         random.shuffle(hints)
         for hint in hints[:ASKED_IN_OUTAGE]:
-            self.links.to(hint).connect_soon()
+            self.links.to(hint).connect_in_background()
--- a/packages/load/src/mimosaspur_load/fakes.py
+++ b/packages/load/src/mimosaspur_load/fakes.py
@@ -77,5 +77,5 @@
         for number in range(count)
     ]
     for link in links:
-        link.connect_soon()
+        link.connect_in_background()
     return links
--- a/packages/transport/src/mimosaspur_transport/attempt.py
+++ b/packages/transport/src/mimosaspur_transport/attempt.py
@@ -30,7 +30,7 @@
     started: bool = False
     ended: bool = False
 
-    def take(self, event: Event) -> None:
+    def on_event(self, event: Event) -> None:
         """Pass on an event if it is the next one of this answer."""
         if self.ended:
             return
@@ -45,17 +45,17 @@
             event = replace(event, offset=self.offset, data=fresh)
             self.offset += len(fresh)
         elif isinstance(event, End) and event.total != self.offset:
-            event = cut(self, f"It ended at {event.total} bytes, {self.offset} came.")
+            event = incomplete_answer(self, f"It ended at {event.total} bytes, {self.offset} came.")
         self.ended = isinstance(event, End | Refused | Failed)
         self.events.put(event)
 
-    def resume(self, now_ms: int) -> Resume:
+    def resume_message(self, now_ms: int) -> Resume:
         """Return what asks a target for the rest, with what is left of the caller's time."""
         left_ms = max(0, self.submit.deadline_ms - (now_ms - self.sent_at_ms))
         return Resume(self.incarnation, self.offset, replace(self.submit, deadline_ms=left_ms))
 
 
-def cut(attempt: Attempt, detail: str) -> Failed:
+def incomplete_answer(attempt: Attempt, detail: str) -> Failed:
     """Return the end of an attempt whose answer can't be completed."""
     work = attempt.submit.work
     code = ResultCode.ANSWER_CUT if attempt.started else ResultCode.OUTCOME_UNKNOWN
--- a/packages/transport/src/mimosaspur_transport/callerconnection.py
+++ b/packages/transport/src/mimosaspur_transport/callerconnection.py
@@ -12,12 +12,12 @@
 
 READ_BYTES = 65_536
 # The stream's buffer; more than this waits in the network.
-BUFFER_BYTES = 65_536
+READ_BUFFER_BYTES = 65_536
 # An answer's start may wait so long for a caller that doesn't read.
 WRITE_TIMEOUT_MS = 15_000
 
 
-class CallerGone(Exception):
+class CallerDisconnected(Exception):
     """Say that the caller left, or that nothing more can be sent to it."""
 
 
@@ -54,46 +54,46 @@
         return name if separator and port.isdigit() else value
 
 
-class WatchedReader(asyncio.StreamReader):
+class EofNotifyingReader(asyncio.StreamReader):
     """Tell at once when the other end closes, also while nobody reads."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        super().__init__(limit=BUFFER_BYTES, loop=loop)
-        self.on_gone: Callable[[], None] | None = None
+        super().__init__(limit=READ_BUFFER_BYTES, loop=loop)
+        self.on_disconnect: Callable[[], None] | None = None
 
     def feed_eof(self) -> None:
         """Take the end of the stream."""
         super().feed_eof()
-        if self.on_gone:
-            self.on_gone()
+        if self.on_disconnect:
+            self.on_disconnect()
 
     def set_exception(self, exc: Exception) -> None:
         """Take a failure of the stream."""
         super().set_exception(exc)
-        if self.on_gone:
-            self.on_gone()
+        if self.on_disconnect:
+            self.on_disconnect()
 
 
 class CallerConnection:
     """Speak HTTP/1.1 with one caller, one request at a time."""
 
-    __slots__ = ("answering", "codec", "limits", "reader", "waiting_s", "writer")
+    __slots__ = ("answer_pending", "codec", "limits", "reader", "waiting_since_s", "writer")
 
     def __init__(
-        self, reader: WatchedReader, writer: asyncio.StreamWriter, *, limits: CallerLimits
+        self, reader: EofNotifyingReader, writer: asyncio.StreamWriter, *, limits: CallerLimits
     ) -> None:
         self.reader = reader
         self.writer = writer
         self.limits = limits
         self.codec = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.header_bytes)
         # Whether a request has been read whose answer is still due.
-        self.answering = False
+        self.answer_pending = False
         # Since when the next request has been waited for, on the event loop's clock.
-        self.waiting_s = asyncio.get_running_loop().time()
+        self.waiting_since_s = asyncio.get_running_loop().time()
 
     async def next_request(self) -> CallerRequest | None:
         """Return the next request, None when the caller closes or is idle for too long."""
-        head = await self._head()
+        head = await self._read_head()
         if head is None:
             return None
         arrived_s = asyncio.get_running_loop().time()
@@ -103,51 +103,55 @@
             raise BadRequest(413, "the body is over the limit")
         if self.codec.they_are_waiting_for_100_continue:
             self._write(h11.InformationalResponse(status_code=100, headers=[]))
-        body = await self._body()
-        self.answering = True
+        body = await self._read_body()
+        self.answer_pending = True
         return CallerRequest(head.method, head.target, headers, body, arrived_s)
 
-    async def answer(self, status: int, headers: Headers, body: bytes, *, close: bool) -> None:
+    async def send_response(
+        self, status: int, headers: Headers, body: bytes, *, close: bool
+    ) -> None:
         """Send a whole answer."""
         framing = [(b"Content-Length", b"%d" % len(body))]
-        await self.start(status, headers + framing, close=close)
+        await self.send_head(status, headers + framing, close=close)
         if body:
-            await self.send(body)
-        await self.finish()
+            await self.send_chunk(body)
+        await self.end_response()
 
-    async def start(self, status: int, headers: Headers, *, close: bool) -> None:
+    async def send_head(self, status: int, headers: Headers, *, close: bool) -> None:
         """Send the head of an answer; without a length the body goes in chunks."""
         if close:
             headers = [*headers, (b"Connection", b"close")]
-        self._write(h11.Response(status_code=status, headers=headers, reason=_reason(status)))
-        await self._drained()
+        self._write(
+            h11.Response(status_code=status, headers=headers, reason=_reason_phrase(status))
+        )
+        await self._drain()
 
-    async def send(self, piece: bytes) -> None:
+    async def send_chunk(self, piece: bytes) -> None:
         """Send a piece of the body."""
         self._write(h11.Data(data=piece))
-        await self._drained()
+        await self._drain()
 
-    async def finish(self) -> None:
+    async def end_response(self) -> None:
         """Send the proper end of the answer."""
         self._write(h11.EndOfMessage())
-        await self._drained()
-        self.answering = False
+        await self._drain()
+        self.answer_pending = False
 
-    def next_cycle(self) -> bool:
+    def start_next_cycle(self) -> bool:
         """Get ready for another request on this connection, if it may have one."""
         if self.codec.our_state is h11.MUST_CLOSE or self.codec.their_state is not h11.DONE:
             return False
         self.codec.start_next_cycle()
         return True
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Tell whether no request is on this connection, not even a part of one."""
         buffered = bool(getattr(self.reader, "_buffer", b"")) or bool(self.codec.trailing_data[0])
-        return not self.answering and not buffered and self.codec.their_state is h11.IDLE
+        return not self.answer_pending and not buffered and self.codec.their_state is h11.IDLE
 
-    def idle_s(self) -> float:
+    def idle_duration_s(self) -> float:
         """Return for how long the connection has carried no request, 0 if it carries one."""
-        return asyncio.get_running_loop().time() - self.waiting_s if self.idle() else 0.0
+        return asyncio.get_running_loop().time() - self.waiting_since_s if self.is_idle() else 0.0
 
     def close(self) -> None:
         """End the connection after what was written."""
@@ -157,11 +161,11 @@
         """End the connection at once, so that an unfinished answer can't look whole."""
         self.writer.transport.abort()
 
-    async def _head(self) -> h11.Request | None:
+    async def _read_head(self) -> h11.Request | None:
         timeout_ms = self.limits.idle_timeout_ms
-        waiting_s = self.waiting_s = asyncio.get_running_loop().time()
+        waiting_s = self.waiting_since_s = asyncio.get_running_loop().time()
         while True:
-            event = self._event()
+            event = self._next_event()
             if isinstance(event, h11.Request):
                 return event
             if event is not h11.NEED_DATA:
@@ -175,10 +179,10 @@
                 waiting_s = asyncio.get_running_loop().time()
             self.codec.receive_data(data)
 
-    async def _body(self) -> bytes:
+    async def _read_body(self) -> bytes:
         body = bytearray()
         while True:
-            event = self._event()
+            event = self._next_event()
             if isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > self.limits.body_bytes:
@@ -189,10 +193,10 @@
                 now_s = asyncio.get_running_loop().time()
                 data = await self._read(self.limits.idle_timeout_ms, now_s)
                 if not data:
-                    raise CallerGone
+                    raise CallerDisconnected
                 self.codec.receive_data(data)
             else:
-                raise CallerGone
+                raise CallerDisconnected
 
     async def _read(self, timeout_ms: int, since_s: float) -> bytes:
         try:
@@ -201,9 +205,9 @@
         except TimeoutError:
             return b""
         except OSError as error:
-            raise CallerGone from error
+            raise CallerDisconnected from error
 
-    def _event(self) -> h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]:
+    def _next_event(self) -> h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]:
         try:
             return self.codec.next_event()
         except h11.RemoteProtocolError as error:
@@ -213,23 +217,23 @@
         try:
             data = self.codec.send(event)
         except h11.LocalProtocolError as error:
-            raise CallerGone from error
+            raise CallerDisconnected from error
         if data:
             self.writer.write(data)
 
-    async def _drained(self) -> None:
+    async def _drain(self) -> None:
         try:
             async with asyncio.timeout(WRITE_TIMEOUT_MS / 1000):
                 await self.writer.drain()
         except (OSError, TimeoutError) as error:
-            raise CallerGone from error
+            raise CallerDisconnected from error
 
 
-def _reason(status: int) -> bytes:
-    return _REASONS.get(status, b"Answer")
+def _reason_phrase(status: int) -> bytes:
+    return _REASON_PHRASES.get(status, b"Answer")
 
 
-_REASONS = {
+_REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     401: b"Unauthorized",
--- a/packages/transport/src/mimosaspur_transport/callers.py
+++ b/packages/transport/src/mimosaspur_transport/callers.py
@@ -36,7 +36,7 @@
 OK = 200
 UNAVAILABLE = 503
 # What workers still need after the grace to notice that their answers are given up.
-ABORT_S = 1
+ABORT_TIMEOUT_S = 1
 
 
 class CallerServer:
@@ -54,7 +54,7 @@
         self.changed = threading.Condition()
         self.http = CallerHttpServer(
             split_address(settings.listen),
-            self._answer,
+            self._handle_request,
             workers=settings.workers,
             timeout_s=settings.caller_timeout_ms / MS_PER_SECOND,
         )
@@ -87,11 +87,11 @@
             left = self.in_flight
         log("ENTRY", "Stopped serving callers.", given_up=left)
         self.http.aborting.set()
-        self.http.shutdown_timeout = ABORT_S
+        self.http.shutdown_timeout = ABORT_TIMEOUT_S
         self.http.stop()
         self.thread.join()
 
-    def take_slot(self) -> None:
+    def acquire_slot(self) -> None:
         """Count a work request in; raise MimosaspurError when there are too many."""
         with self.changed:
             if self.in_flight >= self.settings.max_in_flight:
@@ -100,42 +100,42 @@
             self.in_flight += 1
             self.metrics.gauge("entry.in_flight", self.in_flight)
 
-    def free_slot(self) -> None:
+    def release_slot(self) -> None:
         """Count a work request out."""
         with self.changed:
             self.in_flight -= 1
             self.metrics.gauge("entry.in_flight", self.in_flight)
             self.changed.notify_all()
 
-    def _answer(self, environ: WSGIEnvironment, start: StartResponse) -> Iterable[bytes]:
+    def _handle_request(self, environ: WSGIEnvironment, start: StartResponse) -> Iterable[bytes]:
         exchange = Exchange(environ, start)
         try:
             if is_work(exchange.method, exchange.target):
-                return self._work(exchange)
-            return self._state(exchange)
+                return self._handle_work(exchange)
+            return self._handle_status(exchange)
         except MimosaspurError as error:
             self.metrics.count(f"entry.errors.{error.code.name.lower()}")
-            return exchange.error(error)
+            return exchange.send_error(error)
         except Exception as error:  # noqa: BLE001  a caller is told of any fault of ours
             log("ENTRY", "Request failed.", request_id=exchange.request_id, error=repr(error))
-            return exchange.error(internal_error())
+            return exchange.send_error(internal_error())
 
-    def _state(self, exchange: Exchange) -> Iterable[bytes]:
+    def _handle_status(self, exchange: Exchange) -> Iterable[bytes]:
         if exchange.method not in ("GET", "HEAD"):
             raise MimosaspurError(ResultCode.NOT_FOUND)
         match exchange.target.partition("?")[0]:
             case "/healthz":
                 generation = self.dispatcher.generation()
-                return exchange.json(OK, {"alive": True, "generation": generation})
+                return exchange.send_json(OK, {"alive": True, "generation": generation})
             case "/readyz":
                 ready = self.dispatcher.ready() and not self.http.closing
-                return exchange.json(OK if ready else UNAVAILABLE, {"ready": ready})
+                return exchange.send_json(OK if ready else UNAVAILABLE, {"ready": ready})
             case "/v1/models":
-                return exchange.json(OK, self._models())
+                return exchange.send_json(OK, self._list_models())
             case _:
                 raise MimosaspurError(ResultCode.NOT_FOUND)
 
-    def _models(self) -> dict[str, Any]:
+    def _list_models(self) -> dict[str, Any]:
         cards = [
             {
                 "id": card.name,
@@ -149,24 +149,24 @@
         ]
         return {"object": "list", "data": cards}
 
-    def _work(self, exchange: Exchange) -> Iterable[bytes]:
-        self.take_slot()
+    def _handle_work(self, exchange: Exchange) -> Iterable[bytes]:
+        self.acquire_slot()
         began_ms = self.clock.now_ms()
         streaming = False
         try:
-            request = exchange.read(self.settings.max_body_bytes, self._body_deadline())
+            request = exchange.read_request(self.settings.max_body_bytes, self._body_deadline())
             parsed = parse_work(request, self.deadlines)
-            gone = exchange.caller.gone
+            gone = exchange.caller.is_disconnected
             answer = self.dispatcher.dispatch(parsed.work, parsed.deadline_ms, gone)
             if not parsed.work.stream:
-                return exchange.whole(answer)
+                return exchange.send_collected(answer)
             body = StreamBody(self, exchange, answer)
             streaming = True
             return body
         finally:
             self.metrics.timing("entry.first_ms", self.clock.now_ms() - began_ms)
             if not streaming:
-                self.free_slot()
+                self.release_slot()
 
     def _body_deadline(self) -> Deadline:
         return Deadline(self.clock, self.settings.caller_timeout_ms)
@@ -175,7 +175,15 @@
 class StreamBody:
     """Pass an answer on as it comes; a cut one ends without the mark of a whole one."""
 
-    __slots__ = ("chunks", "closed", "content_type", "exchange", "first", "is_cut", "server")
+    __slots__ = (
+        "chunks",
+        "closed",
+        "content_type",
+        "exchange",
+        "first_chunk",
+        "is_truncated",
+        "server",
+    )
 
     def __init__(self, server: CallerServer, exchange: Exchange, answer: Answer) -> None:
         self.server = server
@@ -183,28 +191,28 @@
         self.content_type = answer.content_type
         self.chunks = answer.chunks
         self.closed = False
-        self.is_cut = False
+        self.is_truncated = False
         # Until the first chunk is here, a failure can still be a plain error response.
         try:
-            self.first = next(self.chunks, b"")
-            exchange.begin(answer.status, answer_headers(answer))
+            self.first_chunk = next(self.chunks, b"")
+            exchange.send_head(answer.status, answer_headers(answer))
         except BaseException:
             close_chunks(self.chunks)
             raise
 
     def __iter__(self) -> Iterator[bytes]:
         try:
-            yield self.first
+            yield self.first_chunk
             for chunk in self.chunks:
-                if self.exchange.caller.gone():
-                    self._cut(MimosaspurError(ResultCode.CANCELLED, outcome=Outcome.UNKNOWN))
+                if self.exchange.caller.is_disconnected():
+                    self._truncate(MimosaspurError(ResultCode.CANCELLED, outcome=Outcome.UNKNOWN))
                     return
                 yield chunk
         except MimosaspurError as error:
-            yield self._cut(error)
+            yield self._truncate(error)
         except Exception as error:  # noqa: BLE001  a caller is told of any fault of ours
             log("ENTRY", "Stream failed.", request_id=self.exchange.request_id, error=repr(error))
-            yield self._cut(internal_error())
+            yield self._truncate(internal_error())
 
     def close(self) -> None:
         """End the work behind the answer and free its slot."""
@@ -212,18 +220,18 @@
             return
         self.closed = True
         # Only now is the last event written, in the encoding that the answer began with.
-        if self.is_cut:
-            self.exchange.caller.cut()
+        if self.is_truncated:
+            self.exchange.caller.truncate_response()
         try:
             close_chunks(self.chunks)
         finally:
-            self.server.free_slot()
+            self.server.release_slot()
 
-    def _cut(self, error: MimosaspurError) -> bytes:
+    def _truncate(self, error: MimosaspurError) -> bytes:
         request_id = self.exchange.request_id
         log("ENTRY", "Cut a stream.", request_id=request_id, code=int(error.code))
         self.server.metrics.count("entry.streams_cut")
-        self.is_cut = True
+        self.is_truncated = True
         if not self.content_type.startswith(EVENT_STREAM):
             return b""
         return b"data: " + msgspec.json.encode(error_body(error, request_id)) + b"\n\n"
--- a/packages/transport/src/mimosaspur_transport/channelpool.py
+++ b/packages/transport/src/mimosaspur_transport/channelpool.py
@@ -5,12 +5,12 @@
 
 # A connection idle for this part of the target's own limit isn't used again: the target may be
 # closing it just then.
-SAFE_PART_OF_KEEP_ALIVE = 0.5
+KEEP_ALIVE_SAFETY_RATIO = 0.5
 # Where the target names no limit.
-DEFAULT_IDLE_MS = 4_000
+DEFAULT_MAX_IDLE_MS = 4_000
 # A request that may not be repeated goes only on a connection used this lately.
-FRESH_MS = 1_000
-MAX_IDLE = 64
+NON_REPEATABLE_MAX_IDLE_MS = 1_000
+MAX_IDLE_CHANNELS = 64
 
 
 class ChannelPool:
@@ -24,20 +24,20 @@
         self.idle: list[HttpChannel] = []
         self.open_count = 0
 
-    async def take(self, *, max_idle_ms: int | None = None) -> tuple[HttpChannel, bool]:
+    async def acquire(self, *, max_idle_ms: int | None = None) -> tuple[HttpChannel, bool]:
         """Return a connection and whether it was used before; raise ChannelBroken."""
         while self.idle:
             channel = self.idle.pop()
-            if self._usable(channel, max_idle_ms):
+            if self._is_usable(channel, max_idle_ms):
                 return channel, True
             self.discard(channel)
         channel = await HttpChannel.open(self.address)
         self.open_count += 1
         return channel, False
 
-    def give_back(self, channel: HttpChannel) -> None:
+    def release(self, channel: HttpChannel) -> None:
         """Keep a connection for the next request, if it may carry one."""
-        if not channel.reusable() or len(self.idle) >= MAX_IDLE:
+        if not channel.is_reusable() or len(self.idle) >= MAX_IDLE_CHANNELS:
             self.discard(channel)
             return
         channel.idle_since_ms = self.clock.now_ms()
@@ -55,16 +55,16 @@
 
     def prune(self) -> None:
         """Close connections that are too old to be used again."""
-        kept = [channel for channel in self.idle if self._usable(channel, None)]
+        kept = [channel for channel in self.idle if self._is_usable(channel, None)]
         for channel in self.idle:
             if channel not in kept:
                 self.discard(channel)
         self.idle = kept
 
-    def _usable(self, channel: HttpChannel, max_idle_ms: int | None) -> bool:
-        limit_ms = DEFAULT_IDLE_MS
+    def _is_usable(self, channel: HttpChannel, max_idle_ms: int | None) -> bool:
+        limit_ms = DEFAULT_MAX_IDLE_MS
         if channel.keep_alive_ms:
-            limit_ms = int(channel.keep_alive_ms * SAFE_PART_OF_KEEP_ALIVE)
+            limit_ms = int(channel.keep_alive_ms * KEEP_ALIVE_SAFETY_RATIO)
         if max_idle_ms is not None:
             limit_ms = min(limit_ms, max_idle_ms)
-        return channel.reusable() and self.clock.now_ms() - channel.idle_since_ms < limit_ms
+        return channel.is_reusable() and self.clock.now_ms() - channel.idle_since_ms < limit_ms
--- a/packages/transport/src/mimosaspur_transport/chat.py
+++ b/packages/transport/src/mimosaspur_transport/chat.py
@@ -16,7 +16,7 @@
 from mimosaspur_state.settings import split_address
 
 MAX_RESUMES = 3
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 READ_BYTES = 65_536
 OK = 200
 NOT_FOUND = 404
@@ -33,7 +33,7 @@
         self.body = body
 
 
-class _Broken(Exception):
+class _StreamBroken(Exception):
     """Say that a stream broke or fell silent before its end."""
 
 
@@ -46,7 +46,7 @@
 
     def __init__(self, address: str, *, silent_ms: int) -> None:
         self.host, self.port = split_address(address)
-        self.timeout = urllib3.Timeout(connect=CONNECT_S, read=silent_ms / 1000)
+        self.timeout = urllib3.Timeout(connect=CONNECT_TIMEOUT_S, read=silent_ms / 1000)
 
     def stream(self, work: Work, stream_id: str, resident: str) -> Iterator[EngineEvent]:
         """Yield the answer's events up to the one before its end mark.
@@ -56,7 +56,7 @@
         """
         try:
             response = self._begin(work, stream_id, resident)
-        except _Broken:
+        except _StreamBroken:
             yield from self._resume(stream_id, 0)
             return
         last = 0
@@ -66,7 +66,7 @@
                 if event.data == DONE:
                     return
                 yield event
-        except _Broken:
+        except _StreamBroken:
             yield from self._resume(stream_id, last)
 
     def adopt(self, stream_id: str) -> Iterator[EngineEvent]:
@@ -77,7 +77,7 @@
         """Tell the engine that nobody waits for a stream."""
         # Without an answer the engine ends the work by itself at max_tokens.
         with contextlib.suppress(urllib3.exceptions.HTTPError):
-            self._call("DELETE", _path(stream_id)).close()
+            self._call("DELETE", _stream_path(stream_id)).close()
 
     def _begin(self, work: Work, stream_id: str, resident: str) -> urllib3.BaseHTTPResponse:
         body = msgspec.json.decode(work.body)
@@ -95,9 +95,9 @@
         except urllib3.exceptions.NewConnectionError as error:
             raise MimosaspurError(ResultCode.NO_READY_TARGET, "The engine is down.") from error
         except urllib3.exceptions.HTTPError as error:
-            raise _Broken from error
+            raise _StreamBroken from error
         if response.status != OK:
-            _raise_for(response, resident)
+            _raise_for_status(response, resident)
         return response
 
     def _resume(self, stream_id: str, last: int) -> Iterator[EngineEvent]:
@@ -112,20 +112,20 @@
                     if event.data == DONE:
                         return
                     yield event
-            except _Broken:
+            except _StreamBroken:
                 continue
-        raise _cut("The engine's stream broke and could not be resumed.")
+        raise _incomplete_answer("The engine's stream broke and could not be resumed.")
 
     def _reopen(self, stream_id: str, last: int) -> urllib3.BaseHTTPResponse:
         try:
-            response = self._call("GET", _path(stream_id), {"Last-Event-ID": str(last)})
+            response = self._call("GET", _stream_path(stream_id), {"Last-Event-ID": str(last)})
         except urllib3.exceptions.NewConnectionError as error:
-            raise _cut("The engine is down.") from error
+            raise _incomplete_answer("The engine is down.") from error
         except urllib3.exceptions.HTTPError as error:
-            raise _Broken from error
+            raise _StreamBroken from error
         if response.status != OK:
             response.close()
-            raise _cut("The engine does not know the stream any more.")
+            raise _incomplete_answer("The engine does not know the stream any more.")
         return response
 
     def _call(
@@ -148,14 +148,14 @@
         while data := response.read1(READ_BYTES):
             yield from reader.feed(data)
     except (urllib3.exceptions.HTTPError, OSError) as error:
-        raise _Broken from error
+        raise _StreamBroken from error
     finally:
         response.close()
     # An end without the end mark is a break, however orderly the connection closed.
-    raise _Broken
+    raise _StreamBroken
 
 
-def _raise_for(response: urllib3.BaseHTTPResponse, resident: str) -> None:
+def _raise_for_status(response: urllib3.BaseHTTPResponse, resident: str) -> None:
     body = response.data
     if response.status == NOT_FOUND:
         raise MimosaspurError(ResultCode.NOT_READY_HERE, f"The engine does not hold {resident}.")
@@ -169,9 +169,9 @@
     )
 
 
-def _cut(detail: str) -> MimosaspurError:
+def _incomplete_answer(detail: str) -> MimosaspurError:
     return MimosaspurError(ResultCode.ANSWER_CUT, detail, outcome=Outcome.UNKNOWN)
 
 
-def _path(stream_id: str) -> str:
+def _stream_path(stream_id: str) -> str:
     return f"/v1/streams/{stream_id}"
--- a/packages/transport/src/mimosaspur_transport/dialect.py
+++ b/packages/transport/src/mimosaspur_transport/dialect.py
@@ -4,7 +4,7 @@
 from dataclasses import field
 
 # Headers that concern one connection only, and those that the codec sets itself.
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"content-length",
@@ -55,9 +55,9 @@
     ready_path: bytes = b"/ready"
 
 
-def end_to_end(headers: Headers, reserved: frozenset[bytes] = frozenset()) -> Headers:
+def end_to_end_headers(headers: Headers, reserved: frozenset[bytes] = frozenset()) -> Headers:
     """Return the headers that are passed on."""
-    dropped = set(HOP_HEADERS) | reserved
+    dropped = set(HOP_BY_HOP_HEADERS) | reserved
     for name, value in headers:
         if name.lower() == b"connection":
             dropped.update(token.strip().lower() for token in value.split(b","))
--- a/packages/transport/src/mimosaspur_transport/engine.py
+++ b/packages/transport/src/mimosaspur_transport/engine.py
@@ -45,20 +45,20 @@
 
     def state(self) -> EngineState:
         """Return the engine's whole report; raise EngineUnavailable."""
-        return _decoded(self._call("GET", "/admin/state"), EngineState)
+        return _decode_success(self._call("GET", "/admin/state"), EngineState)
 
     def load(self) -> EngineLoad:
         """Return the engine's view of its load; raise EngineUnavailable."""
-        return _decoded(self._call("GET", "/admin/load"), EngineLoad)
+        return _decode_success(self._call("GET", "/admin/load"), EngineLoad)
 
     def order(self, order: EngineOrder) -> OrderState:
         """Give an order; raise EngineUnavailable, OrderFenced or OrderRefused."""
         response = self._call("POST", "/admin/orders", msgspec.json.encode(order))
         if response.status == HTTPStatus.CONFLICT:
-            raise OrderFenced(_body(response, _Fencing).fencing)
+            raise OrderFenced(_decode_body(response, _Fencing).fencing)
         if response.status == HTTPStatus.BAD_REQUEST:
             raise OrderRefused(response.data.decode(errors="replace"))
-        return _decoded(response, OrderState)
+        return _decode_success(response, OrderState)
 
     def _call(self, method: str, path: str, body: bytes | None = None) -> urllib3.BaseHTTPResponse:
         headers = {"Content-Type": "application/json"} if body else {}
@@ -70,13 +70,13 @@
             raise EngineUnavailable(f"{method} {path}: {error}") from error
 
 
-def _decoded(response: urllib3.BaseHTTPResponse, kind: type[AnswerT]) -> AnswerT:
+def _decode_success(response: urllib3.BaseHTTPResponse, kind: type[AnswerT]) -> AnswerT:
     if response.status not in (HTTPStatus.OK, HTTPStatus.ACCEPTED):
         raise EngineUnavailable(f"the engine answered with status {response.status}")
-    return _body(response, kind)
+    return _decode_body(response, kind)
 
 
-def _body(response: urllib3.BaseHTTPResponse, kind: type[AnswerT]) -> AnswerT:
+def _decode_body(response: urllib3.BaseHTTPResponse, kind: type[AnswerT]) -> AnswerT:
     try:
         return msgspec.json.decode(response.data, type=kind)
     except msgspec.MsgspecError as error:
--- a/packages/transport/src/mimosaspur_transport/exchange.py
+++ b/packages/transport/src/mimosaspur_transport/exchange.py
@@ -21,8 +21,8 @@
 from mimosaspur_transport.gateway import CALLER_KEY
 from mimosaspur_transport.gateway import CallerConnection
 
-JSON = "application/json"
-BODILESS = frozenset({204, 304})
+JSON_CONTENT_TYPE = "application/json"
+BODILESS_STATUSES = frozenset({204, 304})
 
 Headers = list[tuple[str, str]]
 
@@ -30,17 +30,17 @@
 class Exchange:
     """Hold one request of a caller and answer it."""
 
-    __slots__ = ("caller", "environ", "method", "request_id", "start", "target")
+    __slots__ = ("caller", "environ", "method", "request_id", "start_response", "target")
 
     def __init__(self, environ: WSGIEnvironment, start: StartResponse) -> None:
         self.environ = environ
-        self.start = start
+        self.start_response = start
         self.caller: CallerConnection = environ[CALLER_KEY]
         self.method: str = environ["REQUEST_METHOD"]
         self.target: str = environ["REQUEST_URI"]
         self.request_id = uuid.uuid4().hex
 
-    def read(self, max_bytes: int, deadline: Deadline) -> CallerRequest:
+    def read_request(self, max_bytes: int, deadline: Deadline) -> CallerRequest:
         """Read the request with its body; raise MimosaspurError."""
         headers = {
             name.removeprefix("HTTP_").replace("_", "-").lower(): value
@@ -50,41 +50,43 @@
         body = self.caller.read_body(max_bytes, deadline)
         return CallerRequest(self.request_id, self.method, self.target, headers, body)
 
-    def begin(self, status: int, headers: Headers) -> None:
+    def send_head(self, status: int, headers: Headers) -> None:
         """Set the status and headers of the answer."""
         self.caller.skip_body()
         phrase = responses.get(status, "Unnamed")
-        self.start(f"{status} {phrase}", [("X-Request-Id", self.request_id), *headers])
+        self.start_response(f"{status} {phrase}", [("X-Request-Id", self.request_id), *headers])
 
     def send(self, status: int, headers: Headers, body: bytes) -> Iterable[bytes]:
         """Answer with a body of known length."""
-        if status not in BODILESS:
+        if status not in BODILESS_STATUSES:
             headers = [*headers, ("Content-Length", str(len(body)))]
-        self.begin(status, headers)
-        if status in BODILESS or self.method == "HEAD":
+        self.send_head(status, headers)
+        if status in BODILESS_STATUSES or self.method == "HEAD":
             return []
         return [body]
 
-    def json(self, status: int, value: object, headers: Headers | None = None) -> Iterable[bytes]:
+    def send_json(
+        self, status: int, value: object, headers: Headers | None = None
+    ) -> Iterable[bytes]:
         """Answer with JSON."""
         body = msgspec.json.encode(value)
-        return self.send(status, [("Content-Type", JSON), *(headers or [])], body)
+        return self.send(status, [("Content-Type", JSON_CONTENT_TYPE), *(headers or [])], body)
 
-    def error(self, error: MimosaspurError) -> Iterable[bytes]:
+    def send_error(self, error: MimosaspurError) -> Iterable[bytes]:
         """Answer with a numbered error."""
         headers = []
         retry_s = retry_after_s(error)
         if retry_s is not None:
             headers.append(("Retry-After", str(retry_s)))
         status = CODE_TABLE[error.code].http_status
-        return self.json(status, error_body(error, self.request_id), headers)
+        return self.send_json(status, error_body(error, self.request_id), headers)
 
-    def whole(self, answer: Answer) -> Iterable[bytes]:
+    def send_collected(self, answer: Answer) -> Iterable[bytes]:
         """Collect an answer and send it; raise MimosaspurError when it can't be completed."""
         pieces = []
         try:
             for chunk in answer.chunks:
-                if self.caller.gone():
+                if self.caller.is_disconnected():
                     raise MimosaspurError(ResultCode.CANCELLED, outcome=Outcome.UNKNOWN)
                 pieces.append(chunk)
         finally:
--- a/packages/transport/src/mimosaspur_transport/gateway.py
+++ b/packages/transport/src/mimosaspur_transport/gateway.py
@@ -20,14 +20,14 @@
 
 MAX_HEADER_BYTES = 32_768
 MAX_IDLE_CONNECTIONS = 1024
-MAX_CHUNK_LINE = 256
+MAX_CHUNK_LINE_BYTES = 256
 MAX_TRAILER_LINES = 64
 READ_BYTES = 65_536
-LINGER_READS = 32
-LINGER_S = 0.5
+MAX_LINGER_READS = 32
+LINGER_TIMEOUT_S = 0.5
 MS_PER_SECOND = 1000
 
-_LENGTH = re.compile(r"[0-9]{1,18}")
+_CONTENT_LENGTH = re.compile(r"[0-9]{1,18}")
 _CHUNK_SIZE = re.compile(rb"[0-9A-Fa-f]{1,8}")
 
 
@@ -40,7 +40,7 @@
         self.request = request
         self.body_read = False
 
-    def gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Tell whether the caller has left, or the server gives up its answers."""
         if self.request.server.aborting.is_set():
             return True
@@ -52,7 +52,7 @@
         except (OSError, ValueError):
             return True
 
-    def cut(self) -> None:
+    def truncate_response(self) -> None:
         """Close the connection after this answer without the mark of a whole one."""
         self.request.chunked_write = False
         self.request.close_connection = True
@@ -69,29 +69,29 @@
         try:
             body = self._read_body(max_bytes, deadline)
         except OSError as error:
-            raise _incomplete() from error
+            raise _incomplete_body() from error
         self.body_read = True
         # cheroot would wait for the body a second time.
         self.request.rfile.remaining = 0
         return body
 
     def _has_body(self) -> bool:
-        return bool(self.request.chunked_read) or self._length_text() != "0"
+        return bool(self.request.chunked_read) or self._content_length() != "0"
 
-    def _length_text(self) -> str:
+    def _content_length(self) -> str:
         value: bytes = self.request.inheaders.get(b"Content-Length", b"0")
         return value.decode("latin-1")
 
     def _read_body(self, max_bytes: int, deadline: Deadline) -> bytes:
         if self.request.chunked_read:
             if b"Content-Length" in self.request.inheaders:
-                raise _bad_length("Send Content-Length or Transfer-Encoding, not both.")
+                raise _bad_header("Send Content-Length or Transfer-Encoding, not both.")
             return self._read_chunked(max_bytes, deadline)
-        text = self._length_text()
-        if not _LENGTH.fullmatch(text):
-            raise _bad_length("Content-Length must be a whole number.")
+        text = self._content_length()
+        if not _CONTENT_LENGTH.fullmatch(text):
+            raise _bad_header("Content-Length must be a whole number.")
         if int(text) > max_bytes:
-            raise _too_large(max_bytes)
+            raise _body_too_large(max_bytes)
         return self._read_exactly(int(text), deadline)
 
     def _read_exactly(self, length: int, deadline: Deadline) -> bytes:
@@ -100,39 +100,39 @@
         while left:
             piece: bytes = self.request.conn.rfile.read1(min(left, READ_BYTES))
             if not piece or deadline.passed():
-                raise _incomplete()
+                raise _incomplete_body()
             pieces.append(piece)
             left -= len(piece)
         return b"".join(pieces)
 
     def _read_chunked(self, max_bytes: int, deadline: Deadline) -> bytes:
         body = bytearray()
-        while size := self._chunk_size():
+        while size := self._read_chunk_size():
             if len(body) + size > max_bytes:
-                raise _too_large(max_bytes)
+                raise _body_too_large(max_bytes)
             body += self._read_exactly(size, deadline)
-            if self._line() != b"\r\n":
-                raise _incomplete()
+            if self._read_line() != b"\r\n":
+                raise _incomplete_body()
         self._skip_trailers()
         return bytes(body)
 
-    def _chunk_size(self) -> int:
-        text = self._line().split(b";")[0].strip()
+    def _read_chunk_size(self) -> int:
+        text = self._read_line().split(b";")[0].strip()
         if not _CHUNK_SIZE.fullmatch(text):
-            raise _incomplete()
+            raise _incomplete_body()
         return int(text, 16)
 
     def _skip_trailers(self) -> None:
         # Left unread, they would hide from `gone` that the caller has left.
         for _ in range(MAX_TRAILER_LINES):
-            if self._line() == b"\r\n":
+            if self._read_line() == b"\r\n":
                 return
-        raise _incomplete()
+        raise _incomplete_body()
 
-    def _line(self) -> bytes:
-        line: bytes = self.request.conn.rfile.readline(MAX_CHUNK_LINE)
+    def _read_line(self) -> bytes:
+        line: bytes = self.request.conn.rfile.readline(MAX_CHUNK_LINE_BYTES)
         if not line.endswith(b"\r\n"):
-            raise _incomplete()
+            raise _incomplete_body()
         return line
 
 
@@ -170,8 +170,8 @@
         # Closing on unread data resets the connection, and the caller loses the answer.
         try:
             self.socket.shutdown(socket.SHUT_WR)
-            self.socket.settimeout(LINGER_S)
-            for _ in range(LINGER_READS):
+            self.socket.settimeout(LINGER_TIMEOUT_S)
+            for _ in range(MAX_LINGER_READS):
                 if not self.socket.recv(READ_BYTES):
                     return
         except OSError:
@@ -181,16 +181,16 @@
 class Waker:
     """Stand among the connections as one that always has something to read."""
 
-    __slots__ = ("far", "last_used", "near")
+    __slots__ = ("closed_peer", "last_used", "sock")
 
     def __init__(self) -> None:
-        self.near, self.far = socket.socketpair()
-        self.far.close()
+        self.sock, self.closed_peer = socket.socketpair()
+        self.closed_peer.close()
         self.last_used = math.inf
 
     def close(self) -> None:
         """Close the sockets."""
-        self.near.close()
+        self.sock.close()
 
 
 class CallerHttpServer(wsgi.Server):
@@ -247,7 +247,7 @@
         # Without a wake, the selector's thread would notice only at its next look round.
         waker = Waker()
         self._connections._stop_requested = True
-        self._connections._selector.register(waker.near, selectors.EVENT_READ, data=waker)
+        self._connections._selector.register(waker.sock, selectors.EVENT_READ, data=waker)
         super().stop()
         waker.close()
 
@@ -262,14 +262,14 @@
             conn.close()
 
 
-def _too_large(max_bytes: int) -> MimosaspurError:
+def _body_too_large(max_bytes: int) -> MimosaspurError:
     return MimosaspurError(ResultCode.BODY_TOO_LARGE, f"The limit is {max_bytes} bytes.")
 
 
-def _bad_length(detail: str) -> MimosaspurError:
+def _bad_header(detail: str) -> MimosaspurError:
     return MimosaspurError(ResultCode.BAD_HEADER, detail)
 
 
-def _incomplete() -> MimosaspurError:
+def _incomplete_body() -> MimosaspurError:
     detail = "The body did not come whole and in time."
     return MimosaspurError(ResultCode.BAD_REQUEST, detail)
--- a/packages/transport/src/mimosaspur_transport/httpchannel.py
+++ b/packages/transport/src/mimosaspur_transport/httpchannel.py
@@ -14,7 +14,7 @@
 MAX_HEAD_BYTES = 65_536
 CONNECT_TIMEOUT_MS = 700
 # A peer that acknowledges nothing for so long is given up; a healthy link answers in milliseconds.
-UNACKNOWLEDGED_MS = 1_500
+UNACKED_TIMEOUT_MS = 1_500
 
 
 class ChannelBroken(Exception):
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AnswerHead:
+class ResponseHead:
     """Hold the status and headers of an answer."""
 
     status: int
@@ -30,7 +30,7 @@
     reason: bytes = b""
 
 
-def guard_socket(sock: socket.socket, *, timeout_ms: int = UNACKNOWLEDGED_MS) -> None:
+def set_dead_peer_timeouts(sock: socket.socket, *, timeout_ms: int = UNACKED_TIMEOUT_MS) -> None:
     """Make a connection fail soon after its peer has gone silent."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1)
@@ -63,7 +63,7 @@
                 reader, writer = await asyncio.open_connection(*address)
         except (OSError, TimeoutError) as error:
             raise ChannelBroken(f"can't connect: {error!r}") from error
-        guard_socket(writer.get_extra_info("socket"))
+        set_dead_peer_timeouts(writer.get_extra_info("socket"))
         return cls(reader, writer)
 
     async def send(self, method: bytes, target: bytes, headers: Headers, body: bytes) -> None:
@@ -72,24 +72,24 @@
             self.codec.start_next_cycle()
         framing = [(b"Content-Length", b"%d" % len(body))] if _has_body(method, body) else []
         self.request = h11.Request(method=method, target=target, headers=headers + framing)
-        self.writer.write(self._encoded(self.request, body))
+        self.writer.write(self._encode_request(self.request, body))
         try:
             await self.writer.drain()
         except OSError as error:
             raise ChannelBroken(f"can't send: {error!r}") from error
 
-    async def head(self) -> AnswerHead:
+    async def read_head(self) -> ResponseHead:
         """Return the head of the next answer; raise ChannelBroken."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Response):
                 headers = list(event.headers.raw_items())
-                self._note_keep_alive(headers)
-                return AnswerHead(event.status_code, headers, event.reason)
+                self._record_keep_alive(headers)
+                return ResponseHead(event.status_code, headers, event.reason)
             if not isinstance(event, h11.InformationalResponse):
                 raise ChannelBroken("the connection ended before an answer")
 
-    async def piece(self) -> bytes | None:
+    async def read_chunk(self) -> bytes | None:
         """Return the next piece of the body, None at its proper end; raise ChannelBroken."""
         event = await self._next_event()
         if isinstance(event, h11.Data):
@@ -98,30 +98,30 @@
             return None
         raise ChannelBroken("the answer ended early")
 
-    async def rest(self, limit: int) -> bytes:
+    async def read_body(self, limit: int) -> bytes:
         """Return the whole body; raise ChannelBroken, also beyond the limit."""
         body = bytearray()
-        while (piece := await self.piece()) is not None:
+        while (piece := await self.read_chunk()) is not None:
             body += piece
             if len(body) > limit:
                 raise ChannelBroken("the answer is over the limit")
         return bytes(body)
 
-    async def skip_answer(self) -> None:
+    async def skip_response(self) -> None:
         """Drop an answer that belongs to another request, and get ready for the next one."""
-        while await self.piece() is not None:
+        while await self.read_chunk() is not None:
             pass
         leftover, closed = self.codec.trailing_data
         request = cast(h11.Request, self.request)
         self.codec = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         # The request was sent long ago: this only tells the new codec what it waits for.
-        self._encoded(request, b"\0" * _content_length(request))
+        self._encode_request(request, b"\0" * _content_length(request))
         if leftover:
             self.codec.receive_data(leftover)
         if closed:
             raise ChannelBroken("the connection ended before an answer")
 
-    def reusable(self) -> bool:
+    def is_reusable(self) -> bool:
         """Tell whether another request may be sent."""
         if self.writer.is_closing() or self.reader.at_eof() or self.reader.exception():
             return False
@@ -130,7 +130,7 @@
         both_done = self.codec.our_state is h11.DONE and self.codec.their_state is h11.DONE
         return both_done and not unasked
 
-    def sent_all(self) -> bool:
+    def is_fully_sent(self) -> bool:
         """Tell whether the whole request has left this process."""
         return self.writer.transport.get_write_buffer_size() == 0
 
@@ -138,7 +138,7 @@
         """End the connection at once; a target drops what it runs for it."""
         self.writer.transport.abort()
 
-    def _encoded(self, request: h11.Request, body: bytes) -> bytes:
+    def _encode_request(self, request: h11.Request, body: bytes) -> bytes:
         data = self.codec.send(request) or b""
         if body:
             data += self.codec.send(h11.Data(data=body)) or b""
@@ -152,7 +152,7 @@
             raise ChannelBroken(f"broken: {error!r}") from error
         return event
 
-    def _note_keep_alive(self, headers: Headers) -> None:
+    def _record_keep_alive(self, headers: Headers) -> None:
         for name, value in headers:
             if name.lower() != b"keep-alive":
                 continue
--- a/packages/transport/src/mimosaspur_transport/jsonchannel.py
+++ b/packages/transport/src/mimosaspur_transport/httpclient.py
@@ -5,13 +5,13 @@
 from mimosaspur_state.clock import Clock
 from mimosaspur_transport.channelpool import ChannelPool
 from mimosaspur_transport.dialect import Headers
-from mimosaspur_transport.httpchannel import AnswerHead
 from mimosaspur_transport.httpchannel import ChannelBroken
+from mimosaspur_transport.httpchannel import ResponseHead
 
-MAX_ANSWER_BYTES = 8_000_000
+MAX_RESPONSE_BYTES = 8_000_000
 
 
-class CallClient:
+class HttpClient:
     """Call one address; each call takes a connection of its own while it lasts."""
 
     __slots__ = ("host", "pool")
@@ -43,7 +43,7 @@
         timeout_ms: int,
         body: bytes = b"",
         headers: Headers | None = None,
-    ) -> tuple[AnswerHead, bytes]:
+    ) -> tuple[ResponseHead, bytes]:
         """Return head and body; raise ChannelBroken, also after the timeout."""
         all_headers = [(b"Host", self.host), *(headers or [])]
         if body:
@@ -56,18 +56,18 @@
 
     async def _exchange(
         self, method: bytes, path: bytes, headers: Headers, body: bytes
-    ) -> tuple[AnswerHead, bytes]:
-        channel, _ = await self.pool.take()
+    ) -> tuple[ResponseHead, bytes]:
+        channel, _ = await self.pool.acquire()
         done = False
         try:
             await channel.send(method, path, headers, body)
-            head = await channel.head()
-            answer = await channel.rest(MAX_ANSWER_BYTES)
+            head = await channel.read_head()
+            answer = await channel.read_body(MAX_RESPONSE_BYTES)
             done = True
         finally:
             # A call that was given up leaves its answer on the connection.
             if done:
-                self.pool.give_back(channel)
+                self.pool.release(channel)
             else:
                 self.pool.discard(channel)
         return head, answer
--- a/packages/transport/src/mimosaspur_transport/instancelist.py
+++ b/packages/transport/src/mimosaspur_transport/instancelist.py
@@ -5,13 +5,13 @@
 from mimosaspur_state.clock import Clock
 from mimosaspur_state.errors import StoreUnavailable
 from mimosaspur_state.instances import Instance
-from mimosaspur_transport.jsonhttp import JsonHttp
+from mimosaspur_transport.jsonhttp import JsonHttpClient
 
 OK = 200
-LEAVING = "leaving"
+LEAVING_STATE = "leaving"
 
 
-class _Listed(msgspec.Struct, frozen=True):
+class _ListedInstance(msgspec.Struct, frozen=True):
     name: str
     role: str
     address: str
@@ -19,19 +19,19 @@
     failure_domain: str
     state: str
 
-    def instance(self) -> Instance:
+    def to_instance(self) -> Instance:
         return Instance(
             name=self.name,
             role=self.role,
             address=self.address,
             region=self.region,
             failure_domain=self.failure_domain,
-            leaving=self.state == LEAVING,
+            leaving=self.state == LEAVING_STATE,
         )
 
 
 class _Listing(msgspec.Struct, frozen=True):
-    instances: list[_Listed]
+    instances: list[_ListedInstance]
 
 
 class InstanceListClient:
@@ -40,7 +40,7 @@
     __slots__ = ("http", "size_bytes")
 
     def __init__(self, address: str, *, caller: str, timeout_ms: int, clock: Clock) -> None:
-        self.http = JsonHttp(address, caller=caller, timeout_ms=timeout_ms, clock=clock)
+        self.http = JsonHttpClient(address, caller=caller, timeout_ms=timeout_ms, clock=clock)
         # What the last reading cost.
         self.size_bytes = 0
 
@@ -54,4 +54,4 @@
             listing = msgspec.convert(reply.value, _Listing)
         except msgspec.ValidationError as error:
             raise StoreUnavailable(f"the instance list can't be read: {error}") from error
-        return [listed.instance() for listed in listing.instances]
+        return [listed.to_instance() for listed in listing.instances]
--- a/packages/transport/src/mimosaspur_transport/jsonhttp.py
+++ b/packages/transport/src/mimosaspur_transport/jsonhttp.py
@@ -13,15 +13,15 @@
 from mimosaspur_state.settings import split_address
 
 CALLER_HEADER = "X-Caller"
-TOO_MANY = 429
-FIRST_OUTAGE_STATUS = 500
+TOO_MANY_REQUESTS = 429
+MIN_SERVER_ERROR_STATUS = 500
 READ_BYTES = 65_536
-IDLE_CONNECTIONS = 8
+MAX_IDLE_CONNECTIONS = 8
 MS_PER_SECOND = 1000
 
 
 @dataclass(slots=True, frozen=True)
-class JsonReply:
+class JsonResponse:
     """Hold an answer's status and JSON body, and the body's bytes."""
 
     status: int
@@ -29,7 +29,7 @@
     size_bytes: int = 0
 
 
-class JsonHttp:
+class JsonHttpClient:
     """Call one address; raise StoreUnavailable when no usable answer comes in time."""
 
     __slots__ = ("address", "clock", "headers", "pool", "timeout_ms")
@@ -50,7 +50,7 @@
         headers: dict[str, str] | None = None,
         value: object = None,
         extra_ms: int = 0,
-    ) -> JsonReply:
+    ) -> JsonResponse:
         """Make one call; extra_ms is how long the other side may wait of its own will."""
         deadline = Deadline(self.clock, self.timeout_ms + extra_ms)
         pool = self.pool
@@ -61,7 +61,7 @@
             if self.pool is pool:
                 self.pool = self._new_pool()
             raise StoreUnavailable(f"{method} {self.address}{path}: {error}") from error
-        if reply.status == TOO_MANY or reply.status >= FIRST_OUTAGE_STATUS:
+        if reply.status == TOO_MANY_REQUESTS or reply.status >= MIN_SERVER_ERROR_STATUS:
             raise StoreUnavailable(f"{method} {self.address}{path}: status {reply.status}")
         return reply
 
@@ -73,7 +73,7 @@
         path: str,
         headers: dict[str, str],
         value: object,
-    ) -> JsonReply:
+    ) -> JsonResponse:
         body = None if value is None else json.dumps(value).encode()
         left_s = deadline.left_s()
         response = pool.urlopen(
@@ -89,11 +89,11 @@
             preload_content=False,
         )
         data = _read_all(response, deadline)
-        return JsonReply(response.status, _decoded(response.status, data), len(data))
+        return JsonResponse(response.status, _decode_json(response.status, data), len(data))
 
     def _new_pool(self) -> urllib3.HTTPConnectionPool:
         host, port = split_address(self.address)
-        return urllib3.HTTPConnectionPool(host, port, maxsize=IDLE_CONNECTIONS, block=False)
+        return urllib3.HTTPConnectionPool(host, port, maxsize=MAX_IDLE_CONNECTIONS, block=False)
 
 
 def _read_all(response: urllib3.BaseHTTPResponse, deadline: Deadline) -> bytes:
@@ -114,7 +114,7 @@
     return b"".join(parts)
 
 
-def _decoded(status: int, data: bytes) -> object:
-    if status >= FIRST_OUTAGE_STATUS or status == TOO_MANY:
+def _decode_json(status: int, data: bytes) -> object:
+    if status >= MIN_SERVER_ERROR_STATUS or status == TOO_MANY_REQUESTS:
         return None
     return json.loads(data) if data else None
--- a/packages/transport/src/mimosaspur_transport/objectapi.py
+++ b/packages/transport/src/mimosaspur_transport/objectapi.py
@@ -16,16 +16,16 @@
 from mimosaspur_state.objects import ABSENT
 from mimosaspur_state.objects import Snapshot
 from mimosaspur_state.objects import StoredObject
-from mimosaspur_transport.jsonhttp import JsonHttp
-from mimosaspur_transport.jsonhttp import JsonReply
+from mimosaspur_transport.jsonhttp import JsonHttpClient
+from mimosaspur_transport.jsonhttp import JsonResponse
 
 ReadT = TypeVar("ReadT")
 
-PAGE_LIMIT = 200
+PAGE_OBJECT_COUNT = 200
 OK = 200
 NOT_FOUND = 404
-TOO_OLD = 410
-CONDITION_FAILED = 412
+GONE = 410
+PRECONDITION_FAILED = 412
 
 
 class _Page(msgspec.Struct, frozen=True):
@@ -46,7 +46,7 @@
 class HttpObjectStore:
     """Reach the object API within a rate; every wait ends, connections that failed do too."""
 
-    __slots__ = ("clock", "http", "reads", "timeout_ms", "writes")
+    __slots__ = ("clock", "http", "read_bucket", "timeout_ms", "write_bucket")
 
     def __init__(
         self,
@@ -58,19 +58,19 @@
         reads_per_second: float,
         writes_per_second: float,
     ) -> None:
-        self.http = JsonHttp(address, caller=caller, timeout_ms=timeout_ms, clock=clock)
+        self.http = JsonHttpClient(address, caller=caller, timeout_ms=timeout_ms, clock=clock)
         self.timeout_ms = timeout_ms
         self.clock = clock
-        self.reads = TokenBucket(reads_per_second, clock=clock)
-        self.writes = TokenBucket(writes_per_second, clock=clock)
+        self.read_bucket = TokenBucket(reads_per_second, clock=clock)
+        self.write_bucket = TokenBucket(writes_per_second, clock=clock)
 
     def get(self, key: str) -> StoredObject | None:
         """Return the object, or None if it is absent."""
-        self._token(self.reads)
-        reply = self.http.call("GET", _path(key))
+        self._acquire_token(self.read_bucket)
+        reply = self.http.call("GET", _object_path(key))
         if reply.status == NOT_FOUND:
             return None
-        return _read(reply, StoredObject)
+        return _decode_reply(reply, StoredObject)
 
     def list(self, prefix: str) -> Snapshot:
         """Return every object whose key starts with the prefix, page by page."""
@@ -79,7 +79,7 @@
         more = True
         while more:
             after = objects[-1].key if objects else ""
-            page = self._page(prefix, after)
+            page = self._fetch_page(prefix, after)
             objects.extend(page.objects)
             more = page.more and bool(page.objects)
             # Pages are taken one after the other; only the first revision holds for all.
@@ -88,7 +88,7 @@
 
     def page(self, prefix: str, *, after: str, limit: int) -> Snapshot:
         """Return the first objects by key after a key, none at the end."""
-        found = self._page(prefix, after, limit)
+        found = self._fetch_page(prefix, after, limit)
         return Snapshot(found.revision, found.objects)
 
     def create(self, key: str, value: object) -> int:
@@ -101,45 +101,47 @@
 
     def delete(self, key: str, version: int) -> None:
         """Delete the object at this version; raise VersionConflict at another one."""
-        self._token(self.writes)
-        reply = self.http.call("DELETE", _path(key), headers=_if_match(version))
+        self._acquire_token(self.write_bucket)
+        reply = self.http.call("DELETE", _object_path(key), headers=_if_match(version))
         if reply.status == NOT_FOUND:
             raise VersionConflict(key, ABSENT)
-        self._version(key, reply)
+        self._decode_version(key, reply)
 
     def watch(self, prefixes: tuple[str, ...], since: int, wait_ms: int) -> Snapshot:
         """Return the changes after a revision, empty after wait_ms; may raise RevisionTooOld."""
-        self._token(self.reads)
+        self._acquire_token(self.read_bucket)
         pairs = [("prefix", prefix) for prefix in prefixes]
         query = urlencode([*pairs, ("since", str(since)), ("wait_ms", str(wait_ms))])
         reply = self.http.call("GET", f"/watch?{query}", extra_ms=wait_ms)
-        if reply.status == TOO_OLD:
+        if reply.status == GONE:
             raise RevisionTooOld(f"revision {since} is too old")
-        changes = _read(reply, _Changes)
+        changes = _decode_reply(reply, _Changes)
         return Snapshot(changes.revision, changes.events)
 
-    def _page(self, prefix: str, after: str, limit: int = PAGE_LIMIT) -> _Page:
-        self._token(self.reads)
+    def _fetch_page(self, prefix: str, after: str, limit: int = PAGE_OBJECT_COUNT) -> _Page:
+        self._acquire_token(self.read_bucket)
         query = urlencode({"prefix": prefix, "after": after, "limit": limit})
-        return _read(self.http.call("GET", f"/objects?{query}"), _Page)
+        return _decode_reply(self.http.call("GET", f"/objects?{query}"), _Page)
 
     def _put(self, key: str, value: object, condition: dict[str, str]) -> int:
-        self._token(self.writes)
+        self._acquire_token(self.write_bucket)
         headers = {**condition, "Content-Type": "application/json"}
-        return self._version(key, self.http.call("PUT", _path(key), headers=headers, value=value))
+        return self._decode_version(
+            key, self.http.call("PUT", _object_path(key), headers=headers, value=value)
+        )
 
-    def _version(self, key: str, reply: JsonReply) -> int:
-        version = _read(reply, _Version, also=CONDITION_FAILED).version
-        if reply.status == CONDITION_FAILED:
+    def _decode_version(self, key: str, reply: JsonResponse) -> int:
+        version = _decode_reply(reply, _Version, also=PRECONDITION_FAILED).version
+        if reply.status == PRECONDITION_FAILED:
             raise VersionConflict(key, version)
         return version
 
-    def _token(self, bucket: TokenBucket) -> None:
+    def _acquire_token(self, bucket: TokenBucket) -> None:
         if not bucket.acquire(Deadline(self.clock, self.timeout_ms)):
             raise StoreUnavailable("our own rate for the object API is used up; nothing was sent")
 
 
-def _path(key: str) -> str:
+def _object_path(key: str) -> str:
     return f"/objects/{key}"
 
 
@@ -147,7 +149,7 @@
     return {"If-Match": f'"{version}"'}
 
 
-def _read(reply: JsonReply, kind: type[ReadT], *, also: int = OK) -> ReadT:
+def _decode_reply(reply: JsonResponse, kind: type[ReadT], *, also: int = OK) -> ReadT:
     if reply.status not in (OK, also):
         detail = f"The object API refused the call with status {reply.status}: {reply.value}."
         raise MimosaspurError(ResultCode.INTERNAL, detail)
--- a/packages/transport/src/mimosaspur_transport/peerlink.py
+++ b/packages/transport/src/mimosaspur_transport/peerlink.py
@@ -8,7 +8,7 @@
 from mimosaspur_protocol.peermessages import PeerProtocolError
 from mimosaspur_protocol.peermessages import decode_peer
 from mimosaspur_protocol.peermessages import encode_peer
-from mimosaspur_transport.httpchannel import guard_socket
+from mimosaspur_transport.httpchannel import set_dead_peer_timeouts
 
 CONNECT_TIMEOUT_MS = 500
 # A peer that reads nothing is dropped rather than waited for.
@@ -27,7 +27,7 @@
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
-        guard_socket(writer.get_extra_info("socket"))
+        set_dead_peer_timeouts(writer.get_extra_info("socket"))
 
     @classmethod
     async def open(cls, address: tuple[str, int]) -> "PeerLink":
@@ -50,7 +50,7 @@
             raise PeerLost("the peer is gone or reads nothing")
         self.writer.write(frames)
 
-    async def flushed(self) -> None:
+    async def finish_sending(self) -> None:
         """Wait until what was sent has left this process; raise PeerLost."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_MS / 1000):
--- a/packages/transport/src/mimosaspur_transport/plainservice.py
+++ b/packages/transport/src/mimosaspur_transport/plainservice.py
@@ -10,11 +10,11 @@
 from mimosaspur_state.requests import Work
 from mimosaspur_state.settings import split_address
 
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 
 
 @dataclass(slots=True, frozen=True)
-class ServiceAnswer:
+class ServiceResponse:
     """Hold a plain service's whole answer."""
 
     status: int
@@ -32,11 +32,11 @@
     def __init__(self, address: str) -> None:
         self.host, self.port = split_address(address)
 
-    def call(self, work: Work, run_id: str, timeout_ms: int) -> ServiceAnswer:
+    def call(self, work: Work, run_id: str, timeout_ms: int) -> ServiceResponse:
         """Run a request; raise MimosaspurError saying whether it may have run."""
         if timeout_ms <= 0:
             raise MimosaspurError(ResultCode.DEADLINE_UNREACHABLE)
-        timeout = urllib3.Timeout(connect=CONNECT_S, read=timeout_ms / 1000)
+        timeout = urllib3.Timeout(connect=CONNECT_TIMEOUT_S, read=timeout_ms / 1000)
         headers = {"X-Request-Id": run_id, "Connection": "close"}
         if work.content_type:
             headers["Content-Type"] = work.content_type
@@ -57,4 +57,4 @@
         finally:
             pool.close()
         content_type = response.headers.get("Content-Type", "application/octet-stream")
-        return ServiceAnswer(response.status, content_type, response.data)
+        return ServiceResponse(response.status, content_type, response.data)
--- a/packages/transport/src/mimosaspur_transport/targetlink.py
+++ b/packages/transport/src/mimosaspur_transport/targetlink.py
@@ -30,18 +30,18 @@
 from mimosaspur_state.log import log
 from mimosaspur_state.settings import PeerSettings
 from mimosaspur_transport.attempt import Attempt
-from mimosaspur_transport.attempt import cut
+from mimosaspur_transport.attempt import incomplete_answer
 from mimosaspur_transport.wire import ConnectionLost
 from mimosaspur_transport.wire import Wire
 from mimosaspur_transport.wire import connect
 
 PART = "LINK"
-RECONNECT_PAUSE_S = 0.1
+RECONNECT_DELAY_S = 0.1
 # A connection without work beats this many times slower: it has nothing to lose.
-IDLE_BEATS = 5
+IDLE_HEARTBEAT_FACTOR = 5
 
 
-class _Idle(Exception):
+class _IdleTimeout(Exception):
     """Say that a connection has had no work for long enough to be closed."""
 
 
@@ -77,18 +77,18 @@
         self.attempts: dict[tuple[str, int], Attempt] = {}
         self.wire: Wire | None = None
         self.target_incarnation = ""
-        self.connections = itertools.count(1)
-        self.pings = itertools.count(1)
-        self.unanswered_since_ms: int | None = None
+        self.connection_numbers = itertools.count(1)
+        self.ping_numbers = itertools.count(1)
+        self.ping_pending_since_ms: int | None = None
         self.running = False
         self.stopped = False
-        self.waiting = 0
-        self.failures = 0
-        self.used_at_ms = clock.now_ms()
+        self.waiter_count = 0
+        self.failure_count = 0
+        self.last_used_ms = clock.now_ms()
 
     def submit(self, submit: Submit, *, wait_ms: int) -> Attempt | None:
         """Send a request; None means that it was never sent, so it was not run."""
-        wire = self._connected(wait_ms)
+        wire = self._await_connection(wait_ms)
         if wire is None:
             return None
         attempt = Attempt(submit, self.target_incarnation, self.clock.now_ms())
@@ -113,17 +113,17 @@
                 return
             self.hint.in_flight -= 1
             wire = self.wire
-            self.used_at_ms = self.clock.now_ms()
+            self.last_used_ms = self.clock.now_ms()
         if wire is None:
             return
         # On a lost connection the target lets go by itself of what is not resumed in time.
         with contextlib.suppress(ConnectionLost):
             wire.send(Cancel(*key))
 
-    def connect_soon(self) -> None:
+    def connect_in_background(self) -> None:
         """Start connecting without waiting for it."""
         with self.lock:
-            self._start()
+            self._start_thread()
 
     def stop(self) -> None:
         """Close the link for good."""
@@ -134,20 +134,20 @@
         if wire:
             wire.close()
 
-    def _connected(self, wait_ms: int) -> Wire | None:
+    def _await_connection(self, wait_ms: int) -> Wire | None:
         with self.lock:
-            self.used_at_ms = self.clock.now_ms()
-            self._start()
-            failures = self.failures
-            self.waiting += 1
+            self.last_used_ms = self.clock.now_ms()
+            self._start_thread()
+            failures = self.failure_count
+            self.waiter_count += 1
             self.changed.wait_for(
-                lambda: self.wire is not None or self.failures > failures or self.stopped,
+                lambda: self.wire is not None or self.failure_count > failures or self.stopped,
                 wait_ms / 1000,
             )
-            self.waiting -= 1
+            self.waiter_count -= 1
             return self.wire
 
-    def _start(self) -> None:
+    def _start_thread(self) -> None:
         if self.running or self.stopped:
             return
         self.running = True
@@ -155,33 +155,33 @@
 
     def _run(self) -> None:
         lost_at_ms = self.clock.now_ms()
-        while self._wanted():
+        while self._should_run():
             try:
                 self._serve_connection()
                 lost_at_ms = self.clock.now_ms()
-            except _Idle:
-                self._forget_wire()
+            except _IdleTimeout:
+                self._on_idle_close()
                 log(PART, "Closed a connection: the connection rests.", target=self.hint.name)
             except (ConnectionLost, ProtocolError, TimeoutError) as error:
-                if self._lost():
+                if self._on_disconnect():
                     lost_at_ms = self.clock.now_ms()
                 log(PART, "Lost a connection.", target=self.hint.name, error=str(error))
             if self.clock.now_ms() - lost_at_ms > 2 * self.settings.silent_ms:
                 self._fail_all()
             if not self.attempts:
                 break
-            threading.Event().wait(RECONNECT_PAUSE_S)
-        self._end()
+            threading.Event().wait(RECONNECT_DELAY_S)
+        self._on_exit()
 
-    def _wanted(self) -> bool:
+    def _should_run(self) -> bool:
         return not self.stopped
 
-    def _end(self) -> None:
+    def _on_exit(self) -> None:
         with self.lock:
             self.running = False
             # Whoever came while this task was ending needs a new one.
-            if (self.attempts or self.waiting) and not self.stopped:
-                self._start()
+            if (self.attempts or self.waiter_count) and not self.stopped:
+                self._start_thread()
 
     def _serve_connection(self) -> None:
         wire = connect(
@@ -190,13 +190,13 @@
             send_timeout_ms=self.settings.silent_ms,
         )
         try:
-            self._greet(wire)
-            self._read(wire)
+            self._handshake(wire)
+            self._receive_loop(wire)
         finally:
             wire.close()
 
-    def _greet(self, wire: Wire) -> None:
-        number = next(self.connections)
+    def _handshake(self, wire: Wire) -> None:
+        number = next(self.connection_numbers)
         wire.send(Hello(self.instance, self.incarnation, number, self.holder.generation()))
         welcome, others = _await_welcome(wire)
         with self.lock:
@@ -206,15 +206,15 @@
             self.hint.on_connect(welcome.draining, welcome.residents)
             self.changed.notify_all()
         self.on_residents()
-        self._compare(wire, welcome.generation)
+        self._compare_generation(wire, welcome.generation)
         for attempt in pending:
-            wire.send(attempt.resume(self.clock.now_ms()))
+            wire.send(attempt.resume_message(self.clock.now_ms()))
         for message in others:
             self._handle(message, wire)
 
-    def _read(self, wire: Wire) -> None:
+    def _receive_loop(self, wire: Wire) -> None:
         wire.sock.settimeout(self.settings.heartbeat_ms / 1000)
-        self.unanswered_since_ms = None
+        self.ping_pending_since_ms = None
         pinged_at_ms = self.clock.now_ms()
         while True:
             try:
@@ -223,41 +223,41 @@
             except TimeoutError:
                 pass
             now_ms = self.clock.now_ms()
-            self._check_silence(now_ms)
-            if now_ms - pinged_at_ms >= self._beat_ms():
+            self._check_pong_timeout(now_ms)
+            if now_ms - pinged_at_ms >= self._heartbeat_interval_ms():
                 pinged_at_ms = now_ms
                 self._ping(wire, now_ms)
-            if self._idle(now_ms):
-                raise _Idle
+            if self._is_idle(now_ms):
+                raise _IdleTimeout
 
-    def _beat_ms(self) -> int:
-        return self.settings.heartbeat_ms * (1 if self.attempts else IDLE_BEATS)
+    def _heartbeat_interval_ms(self) -> int:
+        return self.settings.heartbeat_ms * (1 if self.attempts else IDLE_HEARTBEAT_FACTOR)
 
     def _ping(self, wire: Wire, now_ms: int) -> None:
-        if self.unanswered_since_ms is None:
-            self.unanswered_since_ms = now_ms
-        wire.send(Ping(next(self.pings), self.holder.generation()))
+        if self.ping_pending_since_ms is None:
+            self.ping_pending_since_ms = now_ms
+        wire.send(Ping(next(self.ping_numbers), self.holder.generation()))
 
-    def _check_silence(self, now_ms: int) -> None:
+    def _check_pong_timeout(self, now_ms: int) -> None:
         # Only a Pong proves both directions: answers may come while nothing gets there.
-        since_ms = self.unanswered_since_ms
+        since_ms = self.ping_pending_since_ms
         if since_ms is not None and now_ms - since_ms > self.settings.silent_ms:
             raise ConnectionLost("the connection is silent")
 
-    def _idle(self, now_ms: int) -> bool:
+    def _is_idle(self, now_ms: int) -> bool:
         with self.lock:
-            return not self.attempts and now_ms - self.used_at_ms > self.idle_ms
+            return not self.attempts and now_ms - self.last_used_ms > self.idle_ms
 
-    def _forget_wire(self) -> None:
+    def _on_idle_close(self) -> None:
         with self.lock:
             self.wire = None
             self.hint.on_idle_close()
 
-    def _lost(self) -> bool:
+    def _on_disconnect(self) -> bool:
         with self.lock:
             was_connected = self.wire is not None
             self.wire = None
-            self.failures += 1
+            self.failure_count += 1
             self.hint.on_disconnect(self.clock.now_ms())
             self.changed.notify_all()
             return was_connected
@@ -266,7 +266,7 @@
         with self.lock:
             attempts = list(self.attempts.values())
         for attempt in attempts:
-            attempt.take(cut(attempt, "The target can't be reached."))
+            attempt.on_event(incomplete_answer(attempt, "The target can't be reached."))
 
     @singledispatchmethod
     def _handle(self, message: Message, wire: Wire) -> None:
@@ -277,13 +277,13 @@
         with self.lock:
             attempt = self.attempts.get((message.request_id, message.attempt))
         if attempt:
-            attempt.take(message)
+            attempt.on_event(message)
 
     @_handle.register
     def _(self, message: Pong, wire: Wire) -> None:
-        self.unanswered_since_ms = None
+        self.ping_pending_since_ms = None
         self.hint.on_load_report(message.load, message.draining, self.clock.now_ms())
-        self._compare(wire, message.generation)
+        self._compare_generation(wire, message.generation)
 
     @_handle.register
     def _(self, message: Draining, wire: Wire) -> None:
@@ -296,7 +296,7 @@
 
     @_handle.register
     def _(self, message: Generation, wire: Wire) -> None:
-        self._compare(wire, message.generation)
+        self._compare_generation(wire, message.generation)
 
     @_handle.register
     def _(self, message: BundleWanted, wire: Wire) -> None:
@@ -308,7 +308,7 @@
     def _(self, message: BundleOffer, wire: Wire) -> None:
         self.holder.apply_encoded(message.generation, message.packed)
 
-    def _compare(self, wire: Wire, theirs: int) -> None:
+    def _compare_generation(self, wire: Wire, theirs: int) -> None:
         if self.holder.should_request(theirs, self.clock.now_ms()):
             wire.send(BundleWanted(self.holder.generation()))
 
--- a/packages/transport/src/mimosaspur_transport/wire.py
+++ b/packages/transport/src/mimosaspur_transport/wire.py
@@ -11,7 +11,7 @@
 from mimosaspur_state.settings import split_address
 
 RECEIVE_BYTES = 65_536
-BACKLOG = 256
+LISTEN_BACKLOG = 256
 
 
 class ConnectionLost(Exception):
@@ -78,5 +78,5 @@
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(split_address(address))
-    sock.listen(BACKLOG)
+    sock.listen(LISTEN_BACKLOG)
     return sock
