--- a/features/atmostonce_claims.feature
+++ b/features/atmostonce_claims.feature
@@ -1,5 +1,5 @@
 Feature: Claims
-  The claim on a key is held, released, refused and removed so that nothing runs twice.
+  Claims on idempotency keys are held, released, refused and removed without a second run.
 
   Background:
     Given a site with two entries and two targets right beside the service "bookings"
--- a/features/atmostonce_keys.feature
+++ b/features/atmostonce_keys.feature
@@ -1,5 +1,5 @@
 Feature: Idempotency keys
-  A key lets a request run at most once, through whichever entry and target it comes.
+  Requests with the same idempotency key run at most once, through any entry and target.
 
   Background:
     Given a site with two entries and two targets right beside the service "bookings"
--- a/features/atmostonce_service.feature
+++ b/features/atmostonce_service.feature
@@ -1,6 +1,6 @@
 Feature: At most once at the service
-  A call that may not be repeated runs at most once, and what a caller is told of it is true:
-  "not run" means never, a whole answer means once.
+  A non-repeatable call runs at most once, and its reported outcome is correct: "not run" means
+  never, a complete answer means exactly once.
 
   Background:
     Given a site with two entries and two targets of the service "bookings"
--- a/features/steps/atmostonce_key_steps.py
+++ b/features/steps/atmostonce_key_steps.py
@@ -1,4 +1,4 @@
-"""Steps of idempotency keys."""
+"""Steps for idempotency keys and the claims on them."""
 
 from functools import partial
 from time import monotonic
@@ -150,18 +150,18 @@
         reply = context.world.book(body, entry="entry-1", key=key).wait()
         return reported_outcome(reply) == "answer"
 
-    # What it is told meanwhile invites to try again: not run, or in progress.
+    # Until then it is refused as not run or in progress, both of which permit a retry.
     wait_for(answered, f"{key} is answered")
 
 
 @when("the targets are frozen until it has been claimed and its deadline has passed")
 def pause_targets_past_deadline(context: Context) -> None:
     world = context.world
-    # The claim takes effect while the answer to it waits at the frozen target.
+    # The claim is stored while its response waits at the paused target.
     for name in TARGETS:
         world.site.pause(name)
     store = world.site.store()
-    wait_for(lambda: store.get(keys.claim("k")) is not None, "the claim stands")
+    wait_for(lambda: store.get(keys.claim("k")) is not None, "the claim is stored")
     world.last_reply()
     wait_for(
         lambda: monotonic() > world.bookings[-1].call.sent_at + DEADLINE_WAIT_S, "the deadline"
@@ -237,7 +237,7 @@
     aged = {**found.value, "at_ms": found.value["at_ms"] - 2 * DAY_MS}
     for number in range(1, new):
         store.create(keys.claim(f"new-{number}"), found.value)
-    # The planner's own sweep may take some of them first: the steps only have to end it.
+    # The planner's own sweep may remove some of them first.
     for number in range(old):
         store.create(keys.claim(f"old-{number}"), aged)
 
@@ -269,7 +269,7 @@
 
 
 def check_error(reply: Reply, name: str, outcome: str) -> None:
-    """Check an error's name and outcome, and that the words agree with it."""
+    """Check an error's name and outcome, and that the message agrees with it."""
     error = reply.error()
     assert (error["name"], error["outcome"]) == (name, outcome), (reply.status, error)
     assert outcome == "not_run" or "Not run" not in error["message"], error
--- a/features/steps/atmostonce_steps.py
+++ b/features/steps/atmostonce_steps.py
@@ -1,4 +1,4 @@
-"""Steps of bookings that may run at most once, and the faults that strike them."""
+"""Steps for at-most-once bookings under injected faults."""
 
 from collections.abc import Callable
 from functools import partial
@@ -41,7 +41,7 @@
 
 
 def start(context: Context, *, service_relay: bool) -> None:
-    """Start the site; a relay can't say that nothing listens behind it."""
+    """Start the site; a relay accepts connections even if the service is down."""
     site = begin_site(context)
     context.world = BookingWorld(site)
     for name in TARGETS:
@@ -70,18 +70,18 @@
 
 
 def _each_service(kind: str, **fault: object) -> Callable[[BookingWorld], None]:
-    def order(world: BookingWorld) -> None:
+    def inject(world: BookingWorld) -> None:
         for started in world.site.services.values():
             add_fault(started.address, kind, match="/run", count=UNTIL_CLEARED, **fault)
 
-    return order
+    return inject
 
 
 def _one_claim(kind: str, **fault: object) -> Callable[[BookingWorld], None]:
-    def order(world: BookingWorld) -> None:
+    def inject(world: BookingWorld) -> None:
         add_fault(world.site.api, kind, match=CLAIMS, count=1, **fault)
 
-    return order
+    return inject
 
 
 def _kill_targets(world: BookingWorld) -> None:
@@ -176,7 +176,9 @@
     assert not wrong, "\n".join(wrong)
 
 
-def _check_fault(world: BookingWorld, number: str, moment: str, fault: str, told: str) -> None:
+def _check_fault(
+    world: BookingWorld, number: str, moment: str, fault: str, expected_outcome: str
+) -> None:
     if moment == BEFORE_SENDING:
         FAULTS[fault](world)
     entry = world.running_entry()
@@ -188,7 +190,7 @@
         FAULTS[fault](world)
     for booking in pair:
         reply = booking.wait()
-        assert reported_outcome(reply) == told, (
+        assert reported_outcome(reply) == expected_outcome, (
             booking.body,
             reported_outcome(reply),
             reply.status,
@@ -197,7 +199,7 @@
         world.check_reported_outcome(booking)
     for name in world.running_targets():
         world.site.go_on(name)
-    # Whatever is still in flight must not make a lie of what was told.
+    # A run that ends later must not contradict the reported outcome.
     world.await_idle()
     for booking in pair:
         world.check_reported_outcome(booking)
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the whole path, which other features share."""
+"""Steps for requests served end to end, shared by several features."""
 
 import json
 
@@ -60,7 +60,7 @@
         context.reply = service_call(address, service, body).wait()
         return bool(context.reply.status == 200)
 
-    # A refusal before the target is known says "not run", so asking again is safe.
+    # A refusal before the target is found means "not run", so a retry is safe.
     wait_for(answered, f"{entry} reaches {service}")
 
 
--- a/features/steps/replace_steps.py
+++ b/features/steps/replace_steps.py
@@ -122,7 +122,7 @@
     closed = site.daemons["entry-2"].started
 
     def rested() -> bool:
-        return "the connection rests" in closed.error_text()
+        return "Closed an idle connection." in closed.error_text()
 
     wait_for(rested, "a connection is closed for rest")
     models = [model("notes", replicas=2), model("dispatch"), model(name, replicas=3)]
--- a/packages/transport/src/mimosaspur_transport/__init__.py
+++ b/packages/transport/src/mimosaspur_transport/__init__.py
@@ -1,1 +1,1 @@
-"""Carry protocol messages over connections."""
+"""Implement the connections and clients between processes."""
--- a/packages/transport/src/mimosaspur_transport/attempt.py
+++ b/packages/transport/src/mimosaspur_transport/attempt.py
@@ -1,4 +1,4 @@
-"""Follow one attempt of a request at a target."""
+"""Track one attempt of a request at a target."""
 
 import queue
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """Follow one attempt's answer; frames that don't continue it are dropped."""
+    """Track one attempt's answer; drop frames that don't continue it."""
 
     submit: Submit
     incarnation: str
@@ -31,7 +31,7 @@
     ended: bool = False
 
     def on_event(self, event: Event) -> None:
-        """Pass on an event if it is the next one of this answer."""
+        """Queue an event if it continues the answer."""
         if self.ended:
             return
         if isinstance(event, Started):
@@ -39,24 +39,26 @@
                 return
             self.started = True
         elif isinstance(event, Chunk):
-            fresh = event.data[self.offset - event.offset :]
-            if event.offset > self.offset or not fresh:
+            new_data = event.data[self.offset - event.offset :]
+            if event.offset > self.offset or not new_data:
                 return
-            event = replace(event, offset=self.offset, data=fresh)
-            self.offset += len(fresh)
+            event = replace(event, offset=self.offset, data=new_data)
+            self.offset += len(new_data)
         elif isinstance(event, End) and event.total != self.offset:
-            event = incomplete_answer(self, f"It ended at {event.total} bytes, {self.offset} came.")
+            event = incomplete_answer(
+                self, f"Ended at {event.total} bytes, received {self.offset}."
+            )
         self.ended = isinstance(event, End | Refused | Failed)
         self.events.put(event)
 
     def resume_message(self, now_ms: int) -> Resume:
-        """Return what asks a target for the rest, with what is left of the caller's time."""
+        """Return the Resume message with the time left until the caller's deadline."""
         left_ms = max(0, self.submit.deadline_ms - (now_ms - self.sent_at_ms))
         return Resume(self.incarnation, self.offset, replace(self.submit, deadline_ms=left_ms))
 
 
 def incomplete_answer(attempt: Attempt, detail: str) -> Failed:
-    """Return the end of an attempt whose answer can't be completed."""
+    """Return the Failed event of an answer that can't be completed."""
     work = attempt.submit.work
     code = ResultCode.ANSWER_CUT if attempt.started else ResultCode.OUTCOME_UNKNOWN
     return Failed(work.request_id, attempt.submit.attempt, code, detail, Outcome.UNKNOWN)
--- a/packages/transport/src/mimosaspur_transport/callerconnection.py
+++ b/packages/transport/src/mimosaspur_transport/callerconnection.py
@@ -1,4 +1,4 @@
-"""Read requests from one caller's connection, write the answers, notice when the caller leaves."""
+"""Read requests and write responses on one caller's connection."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,18 +11,18 @@
 from mimosaspur_transport.dialect import header
 
 READ_BYTES = 65_536
-# The stream's buffer; more than this waits in the network.
+# Limit of buffered input; TCP flow control holds back the rest.
 READ_BUFFER_BYTES = 65_536
-# An answer's start may wait so long for a caller that doesn't read.
+# How long a write waits for a caller that doesn't read.
 WRITE_TIMEOUT_MS = 15_000
 
 
 class CallerDisconnected(Exception):
-    """Say that the caller left, or that nothing more can be sent to it."""
+    """Signal that the caller disconnected or can't receive more data."""
 
 
 class BadRequest(Exception):
-    """Say what is wrong with what a caller sent, and the status that tells it."""
+    """Signal an invalid request and the response status for it."""
 
     def __init__(self, status: int, detail: str) -> None:
         super().__init__(detail)
@@ -32,13 +32,13 @@
 
 @dataclass(slots=True, frozen=True)
 class CallerRequest:
-    """Hold a whole request."""
+    """Hold a complete request."""
 
     method: bytes
     target: bytes
     headers: Headers
     body: bytes
-    # When the head had arrived, on the event loop's clock.
+    # When the head was complete, on the event loop's clock.
     arrived_s: float
 
     @property
@@ -48,34 +48,34 @@
 
     @property
     def host(self) -> str:
-        """Return the host that was asked for, without its port, in lower case."""
+        """Return the Host header in lower case, without the port."""
         value = (header(self.headers, b"host") or b"").decode("latin-1").strip().lower()
         name, separator, port = value.rpartition(":")
         return name if separator and port.isdigit() else value
 
 
 class EofNotifyingReader(asyncio.StreamReader):
-    """Tell at once when the other end closes, also while nobody reads."""
+    """Call a function when the peer disconnects, even while no read is pending."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(limit=READ_BUFFER_BYTES, loop=loop)
         self.on_disconnect: Callable[[], None] | None = None
 
     def feed_eof(self) -> None:
-        """Take the end of the stream."""
+        """Handle the end of the stream."""
         super().feed_eof()
         if self.on_disconnect:
             self.on_disconnect()
 
     def set_exception(self, exc: Exception) -> None:
-        """Take a failure of the stream."""
+        """Handle a failure of the stream."""
         super().set_exception(exc)
         if self.on_disconnect:
             self.on_disconnect()
 
 
 class CallerConnection:
-    """Speak HTTP/1.1 with one caller, one request at a time."""
+    """Serve HTTP/1.1 to one caller, one request at a time."""
 
     __slots__ = ("answer_pending", "codec", "limits", "reader", "waiting_since_s", "writer")
 
@@ -86,13 +86,13 @@
         self.writer = writer
         self.limits = limits
         self.codec = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.header_bytes)
-        # Whether a request has been read whose answer is still due.
+        # Whether a request was read and its response is not complete.
         self.answer_pending = False
-        # Since when the next request has been waited for, on the event loop's clock.
+        # When the wait for the next request began, on the event loop's clock.
         self.waiting_since_s = asyncio.get_running_loop().time()
 
     async def next_request(self) -> CallerRequest | None:
-        """Return the next request, None when the caller closes or is idle for too long."""
+        """Return the next request, or None when the caller closes or times out."""
         head = await self._read_head()
         if head is None:
             return None
@@ -100,7 +100,7 @@
         headers = list(head.headers.raw_items())
         length = header(headers, b"content-length")
         if length and int(length) > self.limits.body_bytes:
-            raise BadRequest(413, "the body is over the limit")
+            raise BadRequest(413, "the body exceeds the size limit")
         if self.codec.they_are_waiting_for_100_continue:
             self._write(h11.InformationalResponse(status_code=100, headers=[]))
         body = await self._read_body()
@@ -110,7 +110,7 @@
     async def send_response(
         self, status: int, headers: Headers, body: bytes, *, close: bool
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         framing = [(b"Content-Length", b"%d" % len(body))]
         await self.send_head(status, headers + framing, close=close)
         if body:
@@ -118,7 +118,7 @@
         await self.end_response()
 
     async def send_head(self, status: int, headers: Headers, *, close: bool) -> None:
-        """Send the head of an answer; without a length the body goes in chunks."""
+        """Send the head of a response; without a length the body is sent in chunks."""
         if close:
             headers = [*headers, (b"Connection", b"close")]
         self._write(
@@ -126,39 +126,39 @@
         )
         await self._drain()
 
-    async def send_chunk(self, piece: bytes) -> None:
-        """Send a piece of the body."""
-        self._write(h11.Data(data=piece))
+    async def send_chunk(self, chunk: bytes) -> None:
+        """Send a part of the body."""
+        self._write(h11.Data(data=chunk))
         await self._drain()
 
     async def end_response(self) -> None:
-        """Send the proper end of the answer."""
+        """Send the end of the response."""
         self._write(h11.EndOfMessage())
         await self._drain()
         self.answer_pending = False
 
     def start_next_cycle(self) -> bool:
-        """Get ready for another request on this connection, if it may have one."""
+        """Prepare for another request; return whether the connection may carry one."""
         if self.codec.our_state is h11.MUST_CLOSE or self.codec.their_state is not h11.DONE:
             return False
         self.codec.start_next_cycle()
         return True
 
     def is_idle(self) -> bool:
-        """Tell whether no request is on this connection, not even a part of one."""
+        """Return whether the connection carries no request, not even a partial one."""
         buffered = bool(getattr(self.reader, "_buffer", b"")) or bool(self.codec.trailing_data[0])
         return not self.answer_pending and not buffered and self.codec.their_state is h11.IDLE
 
     def idle_duration_s(self) -> float:
-        """Return for how long the connection has carried no request, 0 if it carries one."""
+        """Return how long the connection has been idle, 0 if it is in use."""
         return asyncio.get_running_loop().time() - self.waiting_since_s if self.is_idle() else 0.0
 
     def close(self) -> None:
-        """End the connection after what was written."""
+        """Close the connection after sending buffered data."""
         self.writer.close()
 
     def abort(self) -> None:
-        """End the connection at once, so that an unfinished answer can't look whole."""
+        """Reset the connection, so that a partial response can't look complete."""
         self.writer.transport.abort()
 
     async def _read_head(self) -> h11.Request | None:
@@ -174,7 +174,7 @@
             if not data:
                 return None
             if timeout_ms == self.limits.idle_timeout_ms:
-                # The first bytes of a head are here: the rest has a shorter time.
+                # The head has begun: the rest has a shorter timeout.
                 timeout_ms = self.limits.header_timeout_ms
                 waiting_s = asyncio.get_running_loop().time()
             self.codec.receive_data(data)
@@ -186,7 +186,7 @@
             if isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > self.limits.body_bytes:
-                    raise BadRequest(413, "the body is over the limit")
+                    raise BadRequest(413, "the body exceeds the size limit")
             elif isinstance(event, h11.EndOfMessage):
                 return bytes(body)
             elif event is h11.NEED_DATA:
--- a/packages/transport/src/mimosaspur_transport/callers.py
+++ b/packages/transport/src/mimosaspur_transport/callers.py
@@ -1,4 +1,4 @@
-"""Serve callers over HTTP."""
+"""Serve callers over HTTP, with a limit on requests in flight."""
 
 import socket
 import threading
@@ -35,12 +35,12 @@
 EVENT_STREAM = "text/event-stream"
 OK = 200
 UNAVAILABLE = 503
-# What workers still need after the grace to notice that their answers are given up.
+# Time for workers to notice the abort after the grace period.
 ABORT_TIMEOUT_S = 1
 
 
 class CallerServer:
-    """Accept callers, bound the work in flight, and hand it to the dispatcher."""
+    """Serve callers and pass their requests to the dispatcher, within a limit."""
 
     def __init__(
         self, settings: EntrySettings, dispatcher: Dispatcher, clock: Clock, metrics: Metrics
@@ -67,19 +67,19 @@
         return f"{host}:{port}"
 
     def start(self) -> None:
-        """Bind and begin to serve; raise OSError."""
+        """Bind the address and start serving; raise OSError."""
         self.http.prepare()
-        # A successor must be able to listen here while connections of this process linger.
+        # The next process must be able to bind while old connections are in TIME_WAIT.
         self.http.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.thread.start()
         log("ENTRY", "Serving callers.", address=self.address)
 
     def stop_accepting(self) -> None:
-        """Close the listening socket; answers under way go on."""
+        """Close the listening socket; requests in flight continue."""
         self.http.stop_accepting()
 
     def stop(self, grace_ms: int) -> None:
-        """Let answers under way end within the grace, then give them up and stop."""
+        """Wait for requests in flight up to the grace period, then abort them and stop."""
         self.stop_accepting()
         deadline = Deadline(self.clock, grace_ms)
         with self.changed:
@@ -92,7 +92,7 @@
         self.thread.join()
 
     def acquire_slot(self) -> None:
-        """Count a work request in; raise MimosaspurError when there are too many."""
+        """Reserve a slot for a request; raise MimosaspurError at the limit."""
         with self.changed:
             if self.in_flight >= self.settings.max_in_flight:
                 detail = f"The entry has {self.in_flight} requests in flight."
@@ -101,7 +101,7 @@
             self.metrics.gauge("entry.in_flight", self.in_flight)
 
     def release_slot(self) -> None:
-        """Count a work request out."""
+        """Release a request's slot."""
         with self.changed:
             self.in_flight -= 1
             self.metrics.gauge("entry.in_flight", self.in_flight)
@@ -116,7 +116,7 @@
         except MimosaspurError as error:
             self.metrics.count(f"entry.errors.{error.code.name.lower()}")
             return exchange.send_error(error)
-        except Exception as error:  # noqa: BLE001  a caller is told of any fault of ours
+        except Exception as error:  # noqa: BLE001  respond with an error to any failure
             log("ENTRY", "Request failed.", request_id=exchange.request_id, error=repr(error))
             return exchange.send_error(internal_error())
 
@@ -173,7 +173,7 @@
 
 
 class StreamBody:
-    """Pass an answer on as it comes; a cut one ends without the mark of a whole one."""
+    """Stream an answer's chunks; a truncated one ends without the final chunk."""
 
     __slots__ = (
         "chunks",
@@ -192,7 +192,7 @@
         self.chunks = answer.chunks
         self.closed = False
         self.is_truncated = False
-        # Until the first chunk is here, a failure can still be a plain error response.
+        # Before the first chunk, a failure can still be sent as an error response.
         try:
             self.first_chunk = next(self.chunks, b"")
             exchange.send_head(answer.status, answer_headers(answer))
@@ -210,16 +210,16 @@
                 yield chunk
         except MimosaspurError as error:
             yield self._truncate(error)
-        except Exception as error:  # noqa: BLE001  a caller is told of any fault of ours
+        except Exception as error:  # noqa: BLE001  end the stream with an error on any failure
             log("ENTRY", "Stream failed.", request_id=self.exchange.request_id, error=repr(error))
             yield self._truncate(internal_error())
 
     def close(self) -> None:
-        """End the work behind the answer and free its slot."""
+        """Close the answer's chunks and release the request's slot."""
         if self.closed:
             return
         self.closed = True
-        # Only now is the last event written, in the encoding that the answer began with.
+        # The last event has been written by now, in the response's original encoding.
         if self.is_truncated:
             self.exchange.caller.truncate_response()
         try:
@@ -229,7 +229,7 @@
 
     def _truncate(self, error: MimosaspurError) -> bytes:
         request_id = self.exchange.request_id
-        log("ENTRY", "Cut a stream.", request_id=request_id, code=int(error.code))
+        log("ENTRY", "Truncated a stream.", request_id=request_id, code=int(error.code))
         self.server.metrics.count("entry.streams_cut")
         self.is_truncated = True
         if not self.content_type.startswith(EVENT_STREAM):
--- a/packages/transport/src/mimosaspur_transport/channelpool.py
+++ b/packages/transport/src/mimosaspur_transport/channelpool.py
@@ -1,20 +1,20 @@
-"""Keep connections to one target open between requests."""
+"""Pool connections to one target between requests."""
 
 from mimosaspur_state.clock import Clock
 from mimosaspur_transport.httpchannel import HttpChannel
 
-# A connection idle for this part of the target's own limit isn't used again: the target may be
-# closing it just then.
+# Connections are reused for this part of the target's keep-alive time only, since the target may
+# close them near its end.
 KEEP_ALIVE_SAFETY_RATIO = 0.5
-# Where the target names no limit.
+# For targets that send no keep-alive timeout.
 DEFAULT_MAX_IDLE_MS = 4_000
-# A request that may not be repeated goes only on a connection used this lately.
+# Requests that can't be retried reuse only connections that are unlikely to be dead.
 NON_REPEATABLE_MAX_IDLE_MS = 1_000
 MAX_IDLE_CHANNELS = 64
 
 
 class ChannelPool:
-    """Hand out idle connections, the last used first."""
+    """Reuse idle connections, most recently used first."""
 
     __slots__ = ("address", "clock", "idle", "open_count")
 
@@ -25,7 +25,7 @@
         self.open_count = 0
 
     async def acquire(self, *, max_idle_ms: int | None = None) -> tuple[HttpChannel, bool]:
-        """Return a connection and whether it was used before; raise ChannelBroken."""
+        """Return a connection and whether it is reused; raise ChannelBroken."""
         while self.idle:
             channel = self.idle.pop()
             if self._is_usable(channel, max_idle_ms):
@@ -36,7 +36,7 @@
         return channel, False
 
     def release(self, channel: HttpChannel) -> None:
-        """Keep a connection for the next request, if it may carry one."""
+        """Return a connection to the pool, or close it if it can't be reused."""
         if not channel.is_reusable() or len(self.idle) >= MAX_IDLE_CHANNELS:
             self.discard(channel)
             return
@@ -44,7 +44,7 @@
         self.idle.append(channel)
 
     def discard(self, channel: HttpChannel) -> None:
-        """Close a connection."""
+        """Close a connection and remove it from the count."""
         channel.close()
         self.open_count -= 1
 
@@ -54,7 +54,7 @@
             self.discard(self.idle.pop())
 
     def prune(self) -> None:
-        """Close connections that are too old to be used again."""
+        """Close connections that have been idle for too long."""
         kept = [channel for channel in self.idle if self._is_usable(channel, None)]
         for channel in self.idle:
             if channel not in kept:
--- a/packages/transport/src/mimosaspur_transport/chat.py
+++ b/packages/transport/src/mimosaspur_transport/chat.py
@@ -1,4 +1,4 @@
-"""Run chat requests at an engine, resuming streams that break or fall silent."""
+"""Run chat requests at an engine and resume streams that break or time out."""
 
 import contextlib
 from collections.abc import Iterator
@@ -24,24 +24,24 @@
 
 
 class EngineRejected(Exception):
-    """Say that the engine refused a request as wrong; carry its own answer."""
+    """Signal that the engine rejected a request; carry the engine's response."""
 
     def __init__(self, status: int, content_type: str, body: bytes) -> None:
-        super().__init__(f"the engine answered {status}")
+        super().__init__(f"the engine responded with status {status}")
         self.status = status
         self.content_type = content_type
         self.body = body
 
 
 class _StreamBroken(Exception):
-    """Say that a stream broke or fell silent before its end."""
+    """Signal that a stream broke or timed out before its end."""
 
 
 class EngineChat:
-    """Stream one engine's answers, each call on a connection of its own.
+    """Stream one engine's answers, with a new connection for each call.
 
-    A kept connection may have gone silent: a request sent on it never comes, and the engine
-    can't resume a stream that it never began.
+    A kept-alive connection may be dead: a request sent on it may not arrive, and the engine
+    can't resume a stream that was never started.
     """
 
     def __init__(self, address: str, *, silent_ms: int) -> None:
@@ -52,7 +52,7 @@
         """Yield the answer's events up to the one before its end mark.
 
         Raise MimosaspurError when the answer can't be completed, EngineRejected when the
-        engine finds the request wrong.
+        engine rejects the request.
         """
         try:
             response = self._begin(work, stream_id, resident)
@@ -70,12 +70,12 @@
             yield from self._resume(stream_id, last)
 
     def adopt(self, stream_id: str) -> Iterator[EngineEvent]:
-        """Yield all events of a stream that a predecessor of this process began."""
+        """Yield all events of a stream that a previous process started."""
         yield from self._resume(stream_id, 0)
 
     def cancel(self, stream_id: str) -> None:
-        """Tell the engine that nobody waits for a stream."""
-        # Without an answer the engine ends the work by itself at max_tokens.
+        """Cancel a stream at the engine."""
+        # If the call fails, the run still ends at max_tokens.
         with contextlib.suppress(urllib3.exceptions.HTTPError):
             self._call("DELETE", _stream_path(stream_id)).close()
 
@@ -106,7 +106,7 @@
             tries_left -= 1
             try:
                 for event in _events(self._reopen(stream_id, last)):
-                    # A long stream may break any number of times as long as it gets on.
+                    # Only attempts without progress count, so a long stream may break many times.
                     tries_left = MAX_RESUMES
                     last = event.number or last
                     if event.data == DONE:
@@ -125,7 +125,7 @@
             raise _StreamBroken from error
         if response.status != OK:
             response.close()
-            raise _incomplete_answer("The engine does not know the stream any more.")
+            raise _incomplete_answer("The engine no longer has the stream.")
         return response
 
     def _call(
@@ -138,8 +138,8 @@
         pool = urllib3.HTTPConnectionPool(
             self.host, self.port, timeout=self.timeout, maxsize=1, retries=False
         )
-        sent = {**(headers or {}), "Connection": "close"}
-        return pool.request(method, path, body=body, headers=sent, preload_content=False)
+        all_headers = {**(headers or {}), "Connection": "close"}
+        return pool.request(method, path, body=body, headers=all_headers, preload_content=False)
 
 
 def _events(response: urllib3.BaseHTTPResponse) -> Iterator[EngineEvent]:
@@ -151,20 +151,20 @@
         raise _StreamBroken from error
     finally:
         response.close()
-    # An end without the end mark is a break, however orderly the connection closed.
+    # A stream without the end mark is incomplete, even if the connection closed cleanly.
     raise _StreamBroken
 
 
 def _raise_for_status(response: urllib3.BaseHTTPResponse, resident: str) -> None:
     body = response.data
     if response.status == NOT_FOUND:
-        raise MimosaspurError(ResultCode.NOT_READY_HERE, f"The engine does not hold {resident}.")
+        raise MimosaspurError(ResultCode.NOT_READY_HERE, f"The engine has not loaded {resident}.")
     if response.status in CLIENT_ERRORS:
         content_type = response.headers.get("Content-Type", "application/json")
         raise EngineRejected(response.status, content_type, body)
     raise MimosaspurError(
         ResultCode.ENGINE_ERROR,
-        f"The engine answered {response.status}.",
+        f"The engine responded with status {response.status}.",
         outcome=Outcome.UNKNOWN,
     )
 
--- a/packages/transport/src/mimosaspur_transport/dialect.py
+++ b/packages/transport/src/mimosaspur_transport/dialect.py
@@ -1,9 +1,9 @@
-"""Name the headers and paths by which callers and targets are spoken to."""
+"""Define the HTTP header names and paths used with callers and targets."""
 
 from dataclasses import dataclass
 from dataclasses import field
 
-# Headers that concern one connection only, and those that the codec sets itself.
+# Hop-by-hop headers, and those that the HTTP codec sets itself.
 HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -25,38 +25,38 @@
 
 @dataclass(slots=True, frozen=True)
 class Dialect:
-    """Hold header names in lower case; the defaults are the product's own."""
+    """Hold header names in lower case, with this project's names as defaults."""
 
     request_id: bytes = b"x-request-id"
     deadline_ms: bytes = b"x-deadline-ms"
     last_event_id: bytes = b"last-event-id"
     # A model, or a model and an adapter with a slash between them.
     model: bytes = b"x-model"
-    # Prompt tokens and the bound on output tokens, with a comma between them.
+    # Prompt tokens and the maximum of output tokens, separated by a comma.
     token_counts: bytes = b"x-token-counts"
-    # The parts of a prompt in order, each ID:TOKENS, with commas between them.
+    # The parts of a prompt in order, each ID:TOKENS, separated by commas.
     prompt_prefix: bytes = b"x-prompt-prefix"
-    # A target with another identity refuses the request as not run.
+    # A target with a different identity refuses the request without running it.
     expected_identity: bytes = b"x-expected-identity"
-    # 0 to 9, 0 goes first.
+    # 0 (highest) to 9 (lowest).
     priority: bytes = b"x-priority"
-    # Where the memory lies from which a stopped run goes on: IP:PORT/HANDLE.
+    # Location of the memory from which an interrupted run continues: IP:PORT/HANDLE.
     continued_from: bytes = b"x-continued-from"
-    # A target's word that a request has not run.
+    # Set by a target that has not run the request.
     not_run: bytes = b"x-not-run"
-    # A success without the target's proof is not the target's.
+    # A successful response without this header is not accepted as the target's.
     proof: bytes = b""
-    # A caller's API key, which is not passed on.
+    # A caller's API key; it is not forwarded.
     credential: bytes = b"authorization"
-    # The name of the workspace that holds it; only the system sets it.
+    # The workspace that owns the API key; callers can't set it.
     workspace: bytes = b"x-workspace"
-    # Callers may not set these.
+    # Headers that callers may not set.
     reserved: frozenset[bytes] = field(default_factory=frozenset)
     ready_path: bytes = b"/ready"
 
 
 def end_to_end_headers(headers: Headers, reserved: frozenset[bytes] = frozenset()) -> Headers:
-    """Return the headers that are passed on."""
+    """Return the headers to forward, without hop-by-hop and reserved ones."""
     dropped = set(HOP_BY_HOP_HEADERS) | reserved
     for name, value in headers:
         if name.lower() == b"connection":
@@ -65,12 +65,12 @@
 
 
 def header_values(headers: Headers, name: bytes) -> list[bytes]:
-    """Return the values of all headers of a name; names are compared in lower case."""
+    """Return all values of a header; the name must be in lower case."""
     return [value for key, value in headers if key.lower() == name]
 
 
 def header(headers: Headers, name: bytes) -> bytes | None:
-    """Return a header's value, None if it is absent; names are compared in lower case."""
+    """Return a header's first value or None; the name must be in lower case."""
     for key, value in headers:
         if key.lower() == name:
             return value
--- a/packages/transport/src/mimosaspur_transport/engine.py
+++ b/packages/transport/src/mimosaspur_transport/engine.py
@@ -1,4 +1,4 @@
-"""Speak to a model engine's administration over HTTP."""
+"""Call a model engine's administration API over HTTP."""
 
 from http import HTTPStatus
 from typing import TypeVar
@@ -22,13 +22,13 @@
 
 
 class _Fencing(msgspec.Struct, frozen=True):
-    """Hold the body of a refusal by fencing token."""
+    """Hold the body of a response that rejects a stale fencing token."""
 
     fencing: int
 
 
 class EngineAdmin:
-    """Ask and order one engine; never sends a call twice by itself."""
+    """Call one engine's administration API, without retries."""
 
     __slots__ = ("pool",)
 
@@ -44,15 +44,15 @@
         self.pool.close()
 
     def state(self) -> EngineState:
-        """Return the engine's whole report; raise EngineUnavailable."""
+        """Return the engine's full state; raise EngineUnavailable."""
         return _decode_success(self._call("GET", "/admin/state"), EngineState)
 
     def load(self) -> EngineLoad:
-        """Return the engine's view of its load; raise EngineUnavailable."""
+        """Return the engine's load; raise EngineUnavailable."""
         return _decode_success(self._call("GET", "/admin/load"), EngineLoad)
 
     def order(self, order: EngineOrder) -> OrderState:
-        """Give an order; raise EngineUnavailable, OrderFenced or OrderRefused."""
+        """Send an order; raise EngineUnavailable, OrderFenced or OrderRefused."""
         response = self._call("POST", "/admin/orders", msgspec.json.encode(order))
         if response.status == HTTPStatus.CONFLICT:
             raise OrderFenced(_decode_body(response, _Fencing).fencing)
@@ -72,7 +72,7 @@
 
 def _decode_success(response: urllib3.BaseHTTPResponse, kind: type[AnswerT]) -> AnswerT:
     if response.status not in (HTTPStatus.OK, HTTPStatus.ACCEPTED):
-        raise EngineUnavailable(f"the engine answered with status {response.status}")
+        raise EngineUnavailable(f"the engine responded with status {response.status}")
     return _decode_body(response, kind)
 
 
@@ -80,4 +80,4 @@
     try:
         return msgspec.json.decode(response.data, type=kind)
     except msgspec.MsgspecError as error:
-        raise EngineUnavailable(f"the engine's answer is unreadable: {error}") from error
+        raise EngineUnavailable(f"the engine's response can't be decoded: {error}") from error
--- a/packages/transport/src/mimosaspur_transport/exchange.py
+++ b/packages/transport/src/mimosaspur_transport/exchange.py
@@ -1,4 +1,4 @@
-"""Answer one request of a caller."""
+"""Read one request of a caller and send its response."""
 
 import uuid
 from collections.abc import Iterable
@@ -28,7 +28,7 @@
 
 
 class Exchange:
-    """Hold one request of a caller and answer it."""
+    """Handle one request of a caller."""
 
     __slots__ = ("caller", "environ", "method", "request_id", "start_response", "target")
 
@@ -41,7 +41,7 @@
         self.request_id = uuid.uuid4().hex
 
     def read_request(self, max_bytes: int, deadline: Deadline) -> CallerRequest:
-        """Read the request with its body; raise MimosaspurError."""
+        """Return the request with its body; raise MimosaspurError."""
         headers = {
             name.removeprefix("HTTP_").replace("_", "-").lower(): value
             for name, value in self.environ.items()
@@ -51,13 +51,13 @@
         return CallerRequest(self.request_id, self.method, self.target, headers, body)
 
     def send_head(self, status: int, headers: Headers) -> None:
-        """Set the status and headers of the answer."""
+        """Start the response with its status and headers."""
         self.caller.skip_body()
         phrase = responses.get(status, "Unnamed")
         self.start_response(f"{status} {phrase}", [("X-Request-Id", self.request_id), *headers])
 
     def send(self, status: int, headers: Headers, body: bytes) -> Iterable[bytes]:
-        """Answer with a body of known length."""
+        """Send a response with a body of known length."""
         if status not in BODILESS_STATUSES:
             headers = [*headers, ("Content-Length", str(len(body)))]
         self.send_head(status, headers)
@@ -68,12 +68,12 @@
     def send_json(
         self, status: int, value: object, headers: Headers | None = None
     ) -> Iterable[bytes]:
-        """Answer with JSON."""
+        """Send a JSON response."""
         body = msgspec.json.encode(value)
         return self.send(status, [("Content-Type", JSON_CONTENT_TYPE), *(headers or [])], body)
 
     def send_error(self, error: MimosaspurError) -> Iterable[bytes]:
-        """Answer with a numbered error."""
+        """Send an error response."""
         headers = []
         retry_s = retry_after_s(error)
         if retry_s is not None:
@@ -82,7 +82,7 @@
         return self.send_json(status, error_body(error, self.request_id), headers)
 
     def send_collected(self, answer: Answer) -> Iterable[bytes]:
-        """Collect an answer and send it; raise MimosaspurError when it can't be completed."""
+        """Send an answer in one response; raise MimosaspurError when it can't be completed."""
         pieces = []
         try:
             for chunk in answer.chunks:
@@ -95,7 +95,7 @@
 
 
 def answer_headers(answer: Answer) -> Headers:
-    """Return the headers that an answer gives by itself."""
+    """Return the response headers of an answer."""
     headers = [("Content-Type", answer.content_type)] if answer.content_type else []
     if answer.replayed:
         headers.append(("Idempotent-Replayed", "true"))
@@ -103,12 +103,12 @@
 
 
 def close_chunks(chunks: Iterator[bytes]) -> None:
-    """Close an answer's chunks if they can be closed."""
+    """Close an answer's chunks if the iterator supports it."""
     close = getattr(chunks, "close", None)
     if close is not None:
         close()
 
 
 def internal_error() -> MimosaspurError:
-    """Return the error that stands for a fault of ours."""
+    """Return the error for an unexpected exception in this process."""
     return MimosaspurError(ResultCode.INTERNAL, outcome=Outcome.UNKNOWN)
--- a/packages/transport/src/mimosaspur_transport/gateway.py
+++ b/packages/transport/src/mimosaspur_transport/gateway.py
@@ -1,4 +1,4 @@
-"""Fit cheroot to callers that go silent, leave early or send too much."""
+"""Extend cheroot for callers that stall, disconnect early or send too much."""
 
 import math
 import re
@@ -32,7 +32,7 @@
 
 
 class CallerConnection:
-    """Let the application read a request's body and steer its connection."""
+    """Give the application access to a request's body and connection."""
 
     __slots__ = ("body_read", "request")
 
@@ -41,24 +41,24 @@
         self.body_read = False
 
     def is_disconnected(self) -> bool:
-        """Tell whether the caller has left, or the server gives up its answers."""
+        """Return whether the caller disconnected or the server is aborting."""
         if self.request.server.aborting.is_set():
             return True
         sock = self.request.conn.socket
         try:
             readable, _, _ = select.select([sock], [], [], 0)
-            # Data that waits is the caller's next request, so it is only looked at.
+            # Pending data may be the caller's next request, so it is only peeked at.
             return bool(readable) and sock.recv(1, socket.MSG_PEEK) == b""
         except (OSError, ValueError):
             return True
 
     def truncate_response(self) -> None:
-        """Close the connection after this answer without the mark of a whole one."""
+        """Close the connection after this response without the final chunk."""
         self.request.chunked_write = False
         self.request.close_connection = True
 
     def skip_body(self) -> None:
-        """Leave an unread body unread; the connection closes after the answer."""
+        """Leave an unread body; the connection closes after the response."""
         if self.body_read or not self._has_body():
             return
         self.request.close_connection = True
@@ -123,7 +123,7 @@
         return int(text, 16)
 
     def _skip_trailers(self) -> None:
-        # Left unread, they would hide from `gone` that the caller has left.
+        # Unread trailers would hide a disconnect from `is_disconnected`.
         for _ in range(MAX_TRAILER_LINES):
             if self._read_line() == b"\r\n":
                 return
@@ -137,7 +137,7 @@
 
 
 class CallerGateway(wsgi.Gateway_10):
-    """Put the caller's connection into the environment."""
+    """Add the caller's connection to the WSGI environment."""
 
     def get_environ(self) -> Any:
         """Return the WSGI environment."""
@@ -147,7 +147,7 @@
 
 
 class CallerSocket(server.HTTPConnection):
-    """Set up an accepted connection, and close it so that the last answer arrives."""
+    """Set socket options, and close the connection without losing the last response."""
 
     def __init__(self, http_server: Any, sock: socket.socket, *rest: Any) -> None:
         super().__init__(http_server, sock, *rest)
@@ -167,7 +167,7 @@
         super().close()
 
     def _linger(self) -> None:
-        # Closing on unread data resets the connection, and the caller loses the answer.
+        # Closing with unread data resets the connection, and the caller loses the response.
         try:
             self.socket.shutdown(socket.SHUT_WR)
             self.socket.settimeout(LINGER_TIMEOUT_S)
@@ -179,7 +179,7 @@
 
 
 class Waker:
-    """Stand among the connections as one that always has something to read."""
+    """Wake the selector: a pseudo-connection that is always readable."""
 
     __slots__ = ("closed_peer", "last_used", "sock")
 
@@ -194,13 +194,13 @@
 
 
 class CallerHttpServer(wsgi.Server):
-    """Keep silent connections off the workers, and close the listening socket early."""
+    """Queue connections for workers only once readable, and stop accepting early."""
 
     ConnectionClass = CallerSocket
     keep_alive_conn_limit = MAX_IDLE_CONNECTIONS
     max_request_header_size = MAX_HEADER_BYTES
 
-    # cheroot's stubs leave these two out.
+    # Missing from cheroot's stubs.
     _connections: Any
     _unservicable_conns: Any
 
@@ -216,11 +216,11 @@
 
     @property
     def can_add_keepalive_connection(self) -> bool:
-        """Tell whether a connection may stay open after its answer."""
+        """Return whether a connection may stay open after its response."""
         return not self.closing and bool(super().can_add_keepalive_connection)
 
     def process_conn(self, conn: Any) -> None:
-        """Hand a connection to a worker once its caller has sent something."""
+        """Queue a connection for a worker once its caller has sent data."""
         if isinstance(conn, Waker):
             return
         if conn.last_used is None:
@@ -241,10 +241,10 @@
         listener.close()
 
     def stop(self) -> None:
-        """Stop serving, and end the workers."""
+        """Stop serving and end the worker threads."""
         if not self.ready:
             return
-        # Without a wake, the selector's thread would notice only at its next look round.
+        # Otherwise the selector's thread would notice only at its next timeout.
         waker = Waker()
         self._connections._stop_requested = True
         self._connections._selector.register(waker.sock, selectors.EVENT_READ, data=waker)
@@ -252,7 +252,7 @@
         waker.close()
 
     def error_log(self, msg: str = "", level: int = 0, traceback: bool = False) -> None:
-        """Send cheroot's messages to our log."""
+        """Forward cheroot's messages to the log."""
         log("ENTRY", "HTTP server reported.", report=str(msg), level=level)
 
     def _watch(self, conn: Any) -> None:
@@ -271,5 +271,5 @@
 
 
 def _incomplete_body() -> MimosaspurError:
-    detail = "The body did not come whole and in time."
+    detail = "The body was incomplete or did not arrive in time."
     return MimosaspurError(ResultCode.BAD_REQUEST, detail)
--- a/packages/transport/src/mimosaspur_transport/httpchannel.py
+++ b/packages/transport/src/mimosaspur_transport/httpchannel.py
@@ -1,4 +1,4 @@
-"""Send requests over one HTTP/1.1 connection, and read the answers piece by piece."""
+"""Send requests over one HTTP/1.1 connection and stream the responses."""
 
 import asyncio
 import socket
@@ -10,20 +10,19 @@
 from mimosaspur_transport.dialect import Headers
 
 READ_BYTES = 65_536
-# An answer's head may hold this much before it counts as garbage.
 MAX_HEAD_BYTES = 65_536
 CONNECT_TIMEOUT_MS = 700
-# A peer that acknowledges nothing for so long is given up; a healthy link answers in milliseconds.
+# The connection fails when sent data stays unacknowledged for this long.
 UNACKED_TIMEOUT_MS = 1_500
 
 
 class ChannelBroken(Exception):
-    """Say that the connection ended, or carried what is no answer."""
+    """Signal that the connection failed, ended early or carried an invalid response."""
 
 
 @dataclass(slots=True, frozen=True)
 class ResponseHead:
-    """Hold the status and headers of an answer."""
+    """Hold the status and headers of a response."""
 
     status: int
     headers: Headers
@@ -31,7 +30,7 @@
 
 
 def set_dead_peer_timeouts(sock: socket.socket, *, timeout_ms: int = UNACKED_TIMEOUT_MS) -> None:
-    """Make a connection fail soon after its peer has gone silent."""
+    """Set TCP timeouts that detect a dead peer quickly."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
@@ -40,7 +39,7 @@
 
 
 class HttpChannel:
-    """Carry one request at a time; broken for good after the first fault."""
+    """Send one request at a time; unusable after the first error."""
 
     __slots__ = ("codec", "idle_since_ms", "keep_alive_ms", "reader", "request", "writer")
 
@@ -50,14 +49,14 @@
         self.codec = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.request: h11.Request | None = None
         self.idle_since_ms = 0
-        # How long the peer says that it keeps an idle connection; 0 when it doesn't say.
+        # The peer's keep-alive timeout, 0 if it sent none.
         self.keep_alive_ms = 0
 
     @classmethod
     async def open(
         cls, address: tuple[str, int], *, timeout_ms: int = CONNECT_TIMEOUT_MS
     ) -> "HttpChannel":
-        """Connect; raise ChannelBroken."""
+        """Open a connection; raise ChannelBroken."""
         try:
             async with asyncio.timeout(timeout_ms / 1000):
                 reader, writer = await asyncio.open_connection(*address)
@@ -67,7 +66,7 @@
         return cls(reader, writer)
 
     async def send(self, method: bytes, target: bytes, headers: Headers, body: bytes) -> None:
-        """Send a whole request; raise ChannelBroken."""
+        """Send a complete request; raise ChannelBroken."""
         if self.codec.our_state is h11.DONE:
             self.codec.start_next_cycle()
         framing = [(b"Content-Length", b"%d" % len(body))] if _has_body(method, body) else []
@@ -79,7 +78,7 @@
             raise ChannelBroken(f"can't send: {error!r}") from error
 
     async def read_head(self) -> ResponseHead:
-        """Return the head of the next answer; raise ChannelBroken."""
+        """Return the head of the next response; raise ChannelBroken."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Response):
@@ -90,31 +89,31 @@
                 raise ChannelBroken("the connection ended before an answer")
 
     async def read_chunk(self) -> bytes | None:
-        """Return the next piece of the body, None at its proper end; raise ChannelBroken."""
+        """Return the next part of the body, or None at its end; raise ChannelBroken."""
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise ChannelBroken("the answer ended early")
+        raise ChannelBroken("the response ended early")
 
     async def read_body(self, limit: int) -> bytes:
-        """Return the whole body; raise ChannelBroken, also beyond the limit."""
+        """Return the whole body; raise ChannelBroken, also when it exceeds the limit."""
         body = bytearray()
-        while (piece := await self.read_chunk()) is not None:
-            body += piece
+        while (chunk := await self.read_chunk()) is not None:
+            body += chunk
             if len(body) > limit:
-                raise ChannelBroken("the answer is over the limit")
+                raise ChannelBroken("the response exceeds the size limit")
         return bytes(body)
 
     async def skip_response(self) -> None:
-        """Drop an answer that belongs to another request, and get ready for the next one."""
+        """Discard a response to an earlier request, and prepare to read the next one."""
         while await self.read_chunk() is not None:
             pass
         leftover, closed = self.codec.trailing_data
         request = cast(h11.Request, self.request)
         self.codec = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
-        # The request was sent long ago: this only tells the new codec what it waits for.
+        # The request was already sent: this only puts the new codec into the waiting state.
         self._encode_request(request, b"\0" * _content_length(request))
         if leftover:
             self.codec.receive_data(leftover)
@@ -122,20 +121,20 @@
             raise ChannelBroken("the connection ended before an answer")
 
     def is_reusable(self) -> bool:
-        """Tell whether another request may be sent."""
+        """Return whether another request may be sent."""
         if self.writer.is_closing() or self.reader.at_eof() or self.reader.exception():
             return False
-        # Bytes that nobody asked for belong to no request.
-        unasked = self.codec.trailing_data[0] or bool(getattr(self.reader, "_buffer", b""))
+        # Unexpected bytes belong to no request, so the connection can't be trusted.
+        unexpected = self.codec.trailing_data[0] or bool(getattr(self.reader, "_buffer", b""))
         both_done = self.codec.our_state is h11.DONE and self.codec.their_state is h11.DONE
-        return both_done and not unasked
+        return both_done and not unexpected
 
     def is_fully_sent(self) -> bool:
-        """Tell whether the whole request has left this process."""
+        """Return whether the whole request has been written to the socket."""
         return self.writer.transport.get_write_buffer_size() == 0
 
     def close(self) -> None:
-        """End the connection at once; a target drops what it runs for it."""
+        """Reset the connection; the target cancels the request in flight."""
         self.writer.transport.abort()
 
     def _encode_request(self, request: h11.Request, body: bytes) -> bytes:
--- a/packages/transport/src/mimosaspur_transport/httpclient.py
+++ b/packages/transport/src/mimosaspur_transport/httpclient.py
@@ -1,4 +1,4 @@
-"""Make small calls over kept connections and return whole answers."""
+"""Make small HTTP calls over pooled connections and return complete responses."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class HttpClient:
-    """Call one address; each call takes a connection of its own while it lasts."""
+    """Call one address; each call has exclusive use of a pooled connection."""
 
     __slots__ = ("host", "pool")
 
@@ -29,7 +29,7 @@
         body: bytes = b"",
         headers: Headers | None = None,
     ) -> tuple[int, bytes]:
-        """Return status and body; raise ChannelBroken, also after the timeout."""
+        """Return the status and body; raise ChannelBroken, also after the timeout."""
         head, answer = await self.exchange(
             method, path, timeout_ms=timeout_ms, body=body, headers=headers
         )
@@ -44,7 +44,7 @@
         body: bytes = b"",
         headers: Headers | None = None,
     ) -> tuple[ResponseHead, bytes]:
-        """Return head and body; raise ChannelBroken, also after the timeout."""
+        """Return the head and body; raise ChannelBroken, also after the timeout."""
         all_headers = [(b"Host", self.host), *(headers or [])]
         if body:
             all_headers.append((b"Content-Type", b"application/json"))
@@ -52,7 +52,7 @@
             async with asyncio.timeout(timeout_ms / 1000):
                 return await self._exchange(method, path.encode(), all_headers, body)
         except TimeoutError as error:
-            raise ChannelBroken(f"no answer in {timeout_ms} ms") from error
+            raise ChannelBroken(f"no response within {timeout_ms} ms") from error
 
     async def _exchange(
         self, method: bytes, path: bytes, headers: Headers, body: bytes
@@ -65,7 +65,7 @@
             answer = await channel.read_body(MAX_RESPONSE_BYTES)
             done = True
         finally:
-            # A call that was given up leaves its answer on the connection.
+            # After a failed call its response may still arrive on the connection.
             if done:
                 self.pool.release(channel)
             else:
--- a/packages/transport/src/mimosaspur_transport/instancelist.py
+++ b/packages/transport/src/mimosaspur_transport/instancelist.py
@@ -35,23 +35,23 @@
 
 
 class InstanceListClient:
-    """Reach the instance list; every wait ends."""
+    """Fetch the platform's instance list, with a timeout on each call."""
 
     __slots__ = ("http", "size_bytes")
 
     def __init__(self, address: str, *, caller: str, timeout_ms: int, clock: Clock) -> None:
         self.http = JsonHttpClient(address, caller=caller, timeout_ms=timeout_ms, clock=clock)
-        # What the last reading cost.
+        # Size of the last response.
         self.size_bytes = 0
 
     def instances(self) -> list[Instance]:
-        """Return the listed instances, which lag; raise StoreUnavailable."""
+        """Return the listed instances, possibly stale; raise StoreUnavailable."""
         reply = self.http.call("GET", "/instances")
         if reply.status != OK:
-            raise StoreUnavailable(f"the instance list answered with status {reply.status}")
+            raise StoreUnavailable(f"the instance list responded with status {reply.status}")
         self.size_bytes = reply.size_bytes
         try:
             listing = msgspec.convert(reply.value, _Listing)
         except msgspec.ValidationError as error:
-            raise StoreUnavailable(f"the instance list can't be read: {error}") from error
+            raise StoreUnavailable(f"the instance list can't be decoded: {error}") from error
         return [listed.to_instance() for listed in listing.instances]
--- a/packages/transport/src/mimosaspur_transport/jsonhttp.py
+++ b/packages/transport/src/mimosaspur_transport/jsonhttp.py
@@ -1,4 +1,4 @@
-"""Make bounded JSON calls over HTTP to the platform."""
+"""Make JSON calls with a deadline over HTTP to the platform."""
 
 import json
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, frozen=True)
 class JsonResponse:
-    """Hold an answer's status and JSON body, and the body's bytes."""
+    """Hold a response's status, decoded JSON body and body size."""
 
     status: int
     value: Any
@@ -30,7 +30,7 @@
 
 
 class JsonHttpClient:
-    """Call one address; raise StoreUnavailable when no usable answer comes in time."""
+    """Call one address; raise StoreUnavailable without a valid response in time."""
 
     __slots__ = ("address", "clock", "headers", "pool", "timeout_ms")
 
@@ -51,13 +51,13 @@
         value: object = None,
         extra_ms: int = 0,
     ) -> JsonResponse:
-        """Make one call; extra_ms is how long the other side may wait of its own will."""
+        """Make one call; extra_ms is how long the server may hold the request open."""
         deadline = Deadline(self.clock, self.timeout_ms + extra_ms)
         pool = self.pool
         try:
             reply = self._exchange(pool, deadline, method, path, headers or {}, value)
         except (HTTPError, OSError, ValueError) as error:
-            # The other idle connections may have gone silent too, so none is used again.
+            # The other idle connections may be dead too, so none is reused.
             if self.pool is pool:
                 self.pool = self._new_pool()
             raise StoreUnavailable(f"{method} {self.address}{path}: {error}") from error
@@ -100,11 +100,11 @@
     parts: list[bytes] = []
     whole = False
     try:
-        # The socket's timeout bounds one read only; a trickle must end too.
+        # The socket's timeout covers one read only; a slow response must time out too.
         while part := response.read1(READ_BYTES):
             parts.append(part)
             if deadline.passed():
-                raise TimeoutError("the answer did not end in time")
+                raise TimeoutError("the response did not end in time")
         whole = True
     finally:
         if whole:
--- a/packages/transport/src/mimosaspur_transport/objectapi.py
+++ b/packages/transport/src/mimosaspur_transport/objectapi.py
@@ -1,4 +1,4 @@
-"""Speak to the platform's object API."""
+"""Call the platform's object API."""
 
 from typing import TypeVar
 from urllib.parse import urlencode
@@ -44,7 +44,7 @@
 
 
 class HttpObjectStore:
-    """Reach the object API within a rate; every wait ends, connections that failed do too."""
+    """Call the object API within a rate limit, with a timeout on each call."""
 
     __slots__ = ("clock", "http", "read_bucket", "timeout_ms", "write_bucket")
 
@@ -73,7 +73,7 @@
         return _decode_reply(reply, StoredObject)
 
     def list(self, prefix: str) -> Snapshot:
-        """Return every object whose key starts with the prefix, page by page."""
+        """Return all objects whose key starts with the prefix, fetched in pages."""
         objects: list[StoredObject] = []
         first: int | None = None
         more = True
@@ -82,12 +82,12 @@
             page = self._fetch_page(prefix, after)
             objects.extend(page.objects)
             more = page.more and bool(page.objects)
-            # Pages are taken one after the other; only the first revision holds for all.
+            # The pages differ in age; only the first revision is valid for all of them.
             first = page.revision if first is None else first
         return Snapshot(first or 0, objects)
 
     def page(self, prefix: str, *, after: str, limit: int) -> Snapshot:
-        """Return the first objects by key after a key, none at the end."""
+        """Return the first objects after a key, in key order."""
         found = self._fetch_page(prefix, after, limit)
         return Snapshot(found.revision, found.objects)
 
@@ -96,11 +96,11 @@
         return self._put(key, value, {"If-None-Match": "*"})
 
     def update(self, key: str, value: object, version: int) -> int:
-        """Replace the object at this version; raise VersionConflict at another one."""
+        """Replace the object; raise VersionConflict unless it has this version."""
         return self._put(key, value, _if_match(version))
 
     def delete(self, key: str, version: int) -> None:
-        """Delete the object at this version; raise VersionConflict at another one."""
+        """Delete the object; raise VersionConflict unless it has this version."""
         self._acquire_token(self.write_bucket)
         reply = self.http.call("DELETE", _object_path(key), headers=_if_match(version))
         if reply.status == NOT_FOUND:
@@ -138,7 +138,7 @@
 
     def _acquire_token(self, bucket: TokenBucket) -> None:
         if not bucket.acquire(Deadline(self.clock, self.timeout_ms)):
-            raise StoreUnavailable("our own rate for the object API is used up; nothing was sent")
+            raise StoreUnavailable("object API rate limit exhausted; the request was not sent")
 
 
 def _object_path(key: str) -> str:
@@ -151,9 +151,9 @@
 
 def _decode_reply(reply: JsonResponse, kind: type[ReadT], *, also: int = OK) -> ReadT:
     if reply.status not in (OK, also):
-        detail = f"The object API refused the call with status {reply.status}: {reply.value}."
+        detail = f"The object API rejected the call with status {reply.status}: {reply.value}."
         raise MimosaspurError(ResultCode.INTERNAL, detail)
     try:
         return msgspec.convert(reply.value, kind)
     except msgspec.ValidationError as error:
-        raise StoreUnavailable(f"the object API's answer can't be read: {error}") from error
+        raise StoreUnavailable(f"the object API's response can't be decoded: {error}") from error
--- a/packages/transport/src/mimosaspur_transport/peerlink.py
+++ b/packages/transport/src/mimosaspur_transport/peerlink.py
@@ -1,4 +1,4 @@
-"""Carry messages between entries over one stream."""
+"""Send and receive messages between entries over one connection."""
 
 import asyncio
 
@@ -11,16 +11,16 @@
 from mimosaspur_transport.httpchannel import set_dead_peer_timeouts
 
 CONNECT_TIMEOUT_MS = 500
-# A peer that reads nothing is dropped rather than waited for.
+# Disconnect a peer that doesn't read rather than block on it.
 MAX_UNSENT_BYTES = 1_000_000
 
 
 class PeerLost(Exception):
-    """Say that the link to a peer has ended."""
+    """Signal that the connection to a peer has ended."""
 
 
 class PeerLink:
-    """Send and receive messages; lost for good after the first fault."""
+    """Exchange messages with a peer; unusable after the first error."""
 
     __slots__ = ("reader", "writer")
 
@@ -31,7 +31,7 @@
 
     @classmethod
     async def open(cls, address: tuple[str, int]) -> "PeerLink":
-        """Connect; raise PeerLost."""
+        """Open a connection; raise PeerLost."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_MS / 1000):
                 reader, writer = await asyncio.open_connection(*address)
@@ -44,14 +44,14 @@
         self.send_encoded(encode_peer(message))
 
     def send_encoded(self, frames: bytes) -> None:
-        """Send messages that are encoded already, without waiting; raise PeerLost."""
+        """Send encoded messages without waiting; raise PeerLost."""
         transport = self.writer.transport
         if transport.is_closing() or transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-            raise PeerLost("the peer is gone or reads nothing")
+            raise PeerLost("the peer disconnected or is not reading")
         self.writer.write(frames)
 
     async def finish_sending(self) -> None:
-        """Wait until what was sent has left this process; raise PeerLost."""
+        """Flush sent messages and close the sending side; raise PeerLost."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_MS / 1000):
                 await self.writer.drain()
@@ -65,11 +65,11 @@
             async with asyncio.timeout(timeout_ms / 1000):
                 length = int.from_bytes(await self.reader.readexactly(LENGTH_BYTES), "big")
                 if length > MAX_MESSAGE_BYTES:
-                    raise PeerLost("a message is over the limit")
+                    raise PeerLost("a message exceeds the size limit")
                 return decode_peer(await self.reader.readexactly(length))
         except (OSError, EOFError, TimeoutError, PeerProtocolError) as error:
             raise PeerLost(repr(error)) from error
 
     def close(self) -> None:
-        """End the link at once."""
+        """Reset the connection."""
         self.writer.transport.abort()
--- a/packages/transport/src/mimosaspur_transport/plainservice.py
+++ b/packages/transport/src/mimosaspur_transport/plainservice.py
@@ -1,4 +1,4 @@
-"""Call a plain service, never twice."""
+"""Call a plain service, without retries."""
 
 from dataclasses import dataclass
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServiceResponse:
-    """Hold a plain service's whole answer."""
+    """Hold a plain service's complete response."""
 
     status: int
     content_type: str
@@ -23,24 +23,23 @@
 
 
 class PlainService:
-    """Reach the service beside this process, each call on a connection of its own.
+    """Call a local service, with a new connection for each call.
 
-    A kept connection may have gone silent: what was sent on it could then neither be proved
-    run nor not run.
+    A kept-alive connection may be dead: it would be unknown whether a request sent on it ran.
     """
 
     def __init__(self, address: str) -> None:
         self.host, self.port = split_address(address)
 
     def call(self, work: Work, run_id: str, timeout_ms: int) -> ServiceResponse:
-        """Run a request; raise MimosaspurError saying whether it may have run."""
+        """Run a request; raise MimosaspurError with whether it may have run."""
         if timeout_ms <= 0:
             raise MimosaspurError(ResultCode.DEADLINE_UNREACHABLE)
         timeout = urllib3.Timeout(connect=CONNECT_TIMEOUT_S, read=timeout_ms / 1000)
         headers = {"X-Request-Id": run_id, "Connection": "close"}
         if work.content_type:
             headers["Content-Type"] = work.content_type
-        # A pool of its own: one that is shared hands on connections that the service is closing.
+        # Not shared, since a shared pool may reuse connections that the service is closing.
         pool = urllib3.HTTPConnectionPool(self.host, self.port, retries=False, timeout=timeout)
         try:
             response = pool.request(
--- a/packages/transport/src/mimosaspur_transport/targetlink.py
+++ b/packages/transport/src/mimosaspur_transport/targetlink.py
@@ -1,4 +1,4 @@
-"""Keep an entry's connection to one target and the attempts that run over it."""
+"""Maintain an entry's connection to one target and the attempts on it."""
 
 import contextlib
 import itertools
@@ -37,19 +37,19 @@
 
 PART = "LINK"
 RECONNECT_DELAY_S = 0.1
-# A connection without work beats this many times slower: it has nothing to lose.
+# Multiplier of the heartbeat interval while no attempt is in flight.
 IDLE_HEARTBEAT_FACTOR = 5
 
 
 class _IdleTimeout(Exception):
-    """Say that a connection has had no work for long enough to be closed."""
+    """Signal that a connection has been idle for long enough to be closed."""
 
 
 class TargetLink:
-    """Own the connection to one target: one task connects, reads and beats.
+    """Maintain the connection to one target; one thread connects, reads and pings.
 
-    A connection that is silent is replaced by a new one, on which every attempt is resumed at
-    its offset. The link closes itself when it has been idle.
+    An unresponsive connection is replaced by a new one, on which every attempt is resumed at
+    its offset. An idle connection is closed.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         self.last_used_ms = clock.now_ms()
 
     def submit(self, submit: Submit, *, wait_ms: int) -> Attempt | None:
-        """Send a request; None means that it was never sent, so it was not run."""
+        """Send a request; return None if it was never sent, and so did not run."""
         wire = self._await_connection(wait_ms)
         if wire is None:
             return None
@@ -101,12 +101,12 @@
         try:
             wire.send(submit)
         except ConnectionLost:
-            # Part of it may have arrived: the next connection settles it by Resume.
+            # Part of it may have arrived: a Resume on the next connection resolves that.
             wire.close()
         return attempt
 
     def finish(self, attempt: Attempt) -> None:
-        """Forget an attempt; the target lets go of its answer, or cancels what still runs."""
+        """Remove an attempt; the target drops its answer or cancels the run."""
         key = (attempt.submit.work.request_id, attempt.submit.attempt)
         with self.lock:
             if self.attempts.pop(key, None) is None:
@@ -116,17 +116,17 @@
             self.last_used_ms = self.clock.now_ms()
         if wire is None:
             return
-        # On a lost connection the target lets go by itself of what is not resumed in time.
+        # If the connection is lost, the target drops attempts that are not resumed in time.
         with contextlib.suppress(ConnectionLost):
             wire.send(Cancel(*key))
 
     def connect_in_background(self) -> None:
-        """Start connecting without waiting for it."""
+        """Start connecting in the background."""
         with self.lock:
             self._start_thread()
 
     def stop(self) -> None:
-        """Close the link for good."""
+        """Close the connection permanently."""
         with self.lock:
             self.stopped = True
             wire = self.wire
@@ -161,7 +161,7 @@
                 lost_at_ms = self.clock.now_ms()
             except _IdleTimeout:
                 self._on_idle_close()
-                log(PART, "Closed a connection: the connection rests.", target=self.hint.name)
+                log(PART, "Closed an idle connection.", target=self.hint.name)
             except (ConnectionLost, ProtocolError, TimeoutError) as error:
                 if self._on_disconnect():
                     lost_at_ms = self.clock.now_ms()
@@ -179,7 +179,7 @@
     def _on_exit(self) -> None:
         with self.lock:
             self.running = False
-            # Whoever came while this task was ending needs a new one.
+            # An attempt or waiter that arrived while this thread was ending needs a new one.
             if (self.attempts or self.waiter_count) and not self.stopped:
                 self._start_thread()
 
@@ -239,10 +239,10 @@
         wire.send(Ping(next(self.ping_numbers), self.holder.generation()))
 
     def _check_pong_timeout(self, now_ms: int) -> None:
-        # Only a Pong proves both directions: answers may come while nothing gets there.
+        # Only a Pong proves that both directions work; answers prove just one.
         since_ms = self.ping_pending_since_ms
         if since_ms is not None and now_ms - since_ms > self.settings.silent_ms:
-            raise ConnectionLost("the connection is silent")
+            raise ConnectionLost("the target did not answer a ping in time")
 
     def _is_idle(self, now_ms: int) -> bool:
         with self.lock:
@@ -308,13 +308,13 @@
     def _(self, message: BundleOffer, wire: Wire) -> None:
         self.holder.apply_encoded(message.generation, message.packed)
 
-    def _compare_generation(self, wire: Wire, theirs: int) -> None:
-        if self.holder.should_request(theirs, self.clock.now_ms()):
+    def _compare_generation(self, wire: Wire, target_generation: int) -> None:
+        if self.holder.should_request(target_generation, self.clock.now_ms()):
             wire.send(BundleWanted(self.holder.generation()))
 
 
 def _await_welcome(wire: Wire) -> tuple[Welcome, list[Message]]:
-    """Return Welcome and what came with it: it may come in pieces, or after an announcement."""
+    """Return Welcome and other messages received with it, in any order."""
     others: list[Message] = []
     welcome: Welcome | None = None
     while welcome is None:
--- a/packages/transport/src/mimosaspur_transport/wire.py
+++ b/packages/transport/src/mimosaspur_transport/wire.py
@@ -1,4 +1,4 @@
-"""Send and receive messages on one TCP connection."""
+"""Send and receive protocol messages on one TCP connection."""
 
 import contextlib
 import socket
@@ -15,11 +15,11 @@
 
 
 class ConnectionLost(Exception):
-    """Say that a connection is closed, broken or refused."""
+    """Signal that a connection is closed, broken or refused."""
 
 
 class Wire:
-    """Own one connected socket; any task may send, one task receives."""
+    """Wrap a connected socket; any thread may send, only one receives."""
 
     def __init__(self, sock: socket.socket, *, send_timeout_ms: int) -> None:
         self.sock = sock
@@ -27,12 +27,12 @@
         self.send_lock = threading.Lock()
         self.closed = False
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # What is sent and never acknowledged ends the connection as silence does.
+        # Unacknowledged data closes the connection after the same time as missing messages.
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, send_timeout_ms)
         sock.settimeout(send_timeout_ms / 1000)
 
     def send(self, message: Message) -> None:
-        """Send one message whole; raise ConnectionLost."""
+        """Send one complete message; raise ConnectionLost."""
         frame = encode(message)
         with self.send_lock:
             if self.closed:
@@ -40,7 +40,7 @@
             try:
                 self.sock.sendall(frame)
             except OSError as error:
-                # Part of the frame may be out, so nothing can follow it on this connection.
+                # Part of the frame may be sent, so the connection can't carry another one.
                 self.close()
                 raise ConnectionLost(str(error)) from error
 
@@ -57,7 +57,7 @@
         return self.decoder.feed(data)
 
     def close(self) -> None:
-        """Close the connection; a task that receives on it wakes."""
+        """Close the connection and unblock a thread that receives on it."""
         self.closed = True
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
@@ -74,7 +74,7 @@
 
 
 def listen(address: str) -> socket.socket:
-    """Listen on an address alone; raise OSError when another process has it."""
+    """Open a listening socket; raise OSError when the address is in use."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(split_address(address))
