--- a/packages/transport/src/mimosaspur_transport/callers.py
+++ b/packages/transport/src/mimosaspur_transport/callers.py
@@ -69,7 +69,7 @@
     def start(self) -> None:
         """Bind the address and start serving; raise OSError."""
         self.http.prepare()
-        # The next process must be able to bind while old connections are in TIME_WAIT.
+        # The next process must be able to bind while connections of this one still close.
         self.http.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.thread.start()
         log("ENTRY", "Serving callers.", address=self.address)
--- a/packages/transport/src/mimosaspur_transport/gateway.py
+++ b/packages/transport/src/mimosaspur_transport/gateway.py
@@ -194,7 +194,7 @@
 
 
 class CallerHttpServer(wsgi.Server):
-    """Queue connections for workers only once readable, and stop accepting early."""
+    """Queue connections for workers once readable; support closing the listener early."""
 
     ConnectionClass = CallerSocket
     keep_alive_conn_limit = MAX_IDLE_CONNECTIONS
--- a/packages/transport/src/mimosaspur_transport/httpchannel.py
+++ b/packages/transport/src/mimosaspur_transport/httpchannel.py
@@ -86,7 +86,7 @@
                 self._record_keep_alive(headers)
                 return ResponseHead(event.status_code, headers, event.reason)
             if not isinstance(event, h11.InformationalResponse):
-                raise ChannelBroken("the connection ended before an answer")
+                raise ChannelBroken("the connection ended before a response")
 
     async def read_chunk(self) -> bytes | None:
         """Return the next part of the body, or None at its end; raise ChannelBroken."""
@@ -118,7 +118,7 @@
         if leftover:
             self.codec.receive_data(leftover)
         if closed:
-            raise ChannelBroken("the connection ended before an answer")
+            raise ChannelBroken("the connection ended before a response")
 
     def is_reusable(self) -> bool:
         """Return whether another request may be sent."""
--- a/packages/transport/src/mimosaspur_transport/objectapi.py
+++ b/packages/transport/src/mimosaspur_transport/objectapi.py
@@ -87,7 +87,7 @@
         return Snapshot(first or 0, objects)
 
     def page(self, prefix: str, *, after: str, limit: int) -> Snapshot:
-        """Return the first objects after a key, in key order."""
+        """Return the first objects after a key, in key order; none at the end."""
         found = self._fetch_page(prefix, after, limit)
         return Snapshot(found.revision, found.objects)
 
--- a/packages/transport/src/mimosaspur_transport/targetlink.py
+++ b/packages/transport/src/mimosaspur_transport/targetlink.py
@@ -314,7 +314,7 @@
 
 
 def _await_welcome(wire: Wire) -> tuple[Welcome, list[Message]]:
-    """Return Welcome and other messages received with it, in any order."""
+    """Return Welcome and the messages received before or with it."""
     others: list[Message] = []
     welcome: Welcome | None = None
     while welcome is None:
