--- a/features/harness/atmostonce_world.py
+++ b/features/harness/atmostonce_world.py
@@ -36,7 +36,7 @@
     def disconnect(self) -> None:
         """Close the caller's connection."""
         assert self.call.connection.sock
-        self.call.leave()
+        self.call.disconnect()
 
 
 @dataclass(slots=True)
--- a/features/harness/bundles_world.py
+++ b/features/harness/bundles_world.py
@@ -3,7 +3,7 @@
 from behave.runner import Context
 
 from harness.control import wait_for
-from harness.drain_world import generation
+from harness.drain_world import read_generation
 from harness.site import REGION
 from harness.site import Site
 from harness.site import model
@@ -30,7 +30,7 @@
     """Wait until processes have a generation."""
     for name in names:
         wait_for(
-            lambda n=name: generation(context.site, n) >= wanted,  # type: ignore[misc]
+            lambda n=name: read_generation(context.site, n) >= wanted,  # type: ignore[misc]
             f"{name} has the generation {wanted}",
         )
 
--- a/features/harness/caller.py
+++ b/features/harness/caller.py
@@ -10,7 +10,7 @@
 from dataclasses import field
 from typing import Any
 
-CALL_S = 40.0
+CALL_TIMEOUT_S = 40.0
 MS_PER_S = 1000
 DONE = "[DONE]"
 
@@ -39,7 +39,7 @@
             return "".join(_delta(event) for event in self.events() if event != DONE)
         return str(self.json()["choices"][0]["message"]["content"])
 
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether it says itself that it is whole."""
         if self.broken or self.status != 200:
             return False
@@ -68,7 +68,7 @@
         self, address: str, method: str, path: str, body: bytes, headers: dict[str, str]
     ) -> None:
         host, _, port = address.rpartition(":")
-        self.connection = http.client.HTTPConnection(host, int(port), timeout=CALL_S)
+        self.connection = http.client.HTTPConnection(host, int(port), timeout=CALL_TIMEOUT_S)
         self.request = (method, path, body, headers)
         self.reply = Reply()
         self.sent_at = time.monotonic()
@@ -78,16 +78,16 @@
 
     def wait(self) -> Reply:
         """Return the reply once it has ended, within a bound."""
-        self.thread.join(CALL_S + 5)
+        self.thread.join(CALL_TIMEOUT_S + 5)
         assert not self.thread.is_alive(), f"no end to {self.request[:2]}"
         return self.reply
 
-    def took_ms(self) -> float:
+    def duration_ms(self) -> float:
         """Return how long it took until the reply had ended."""
         self.wait()
         return (self.ended_at - self.sent_at) * MS_PER_S
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         """Close the caller's connection at once."""
         sock = self.connection.sock
         if sock:
--- a/features/harness/callers_world.py
+++ b/features/harness/callers_world.py
@@ -22,20 +22,22 @@
 from mimosaspur_state.requests import Work
 from mimosaspur_transport.callers import CallerServer
 
-BOUND_S = 5.0
-POLL_S = 0.005
+TIMEOUT_S = 5.0
+POLL_INTERVAL_S = 0.005
 WORKERS = 6
 MAX_IN_FLIGHT = 3
-MAX_BODY = 200_000
+MAX_BODY_BYTES = 200_000
 CALLER_TIMEOUT_MS = 1000
 CHAT = "/v1/chat/completions"
-GOOD = {"model": "m", "messages": [{"role": "user", "content": "x"}]}
-GOOD_BODY = json.dumps(GOOD).encode()
-LAST = b"data: [DONE]\n\n"
+VALID_REQUEST = {"model": "m", "messages": [{"role": "user", "content": "x"}]}
+VALID_BODY = json.dumps(VALID_REQUEST).encode()
+FINAL_EVENT = b"data: [DONE]\n\n"
 NONE = "(none)"
-LATE = "the condition did not come true in time"
+TIMEOUT_MESSAGE = "the condition did not come true in time"
 
-wait_for = partial(control.wait_for, what=LATE, bound_s=BOUND_S, poll_s=POLL_S)
+wait_for = partial(
+    control.wait_for, what=TIMEOUT_MESSAGE, bound_s=TIMEOUT_S, poll_s=POLL_INTERVAL_S
+)
 
 
 @dataclass(slots=True)
@@ -47,16 +49,16 @@
     refusal: MimosaspurError | None = None
     replayed: bool = False
     endless: bool = False
-    waits_gone: bool = False
+    waits_for_disconnect: bool = False
     is_ready: bool = True
-    free: threading.Event = field(default_factory=threading.Event)
-    seen: list[tuple[Work, int]] = field(default_factory=list)
-    begun: int = 0
-    closed: int = 0
+    release: threading.Event = field(default_factory=threading.Event)
+    dispatched: list[tuple[Work, int]] = field(default_factory=list)
+    started_count: int = 0
+    closed_count: int = 0
 
     def dispatch(self, work: Work, deadline_ms: int, gone: Callable[[], bool]) -> Answer:
         """Record the work, and begin an answer or refuse."""
-        self.seen.append((work, deadline_ms))
+        self.dispatched.append((work, deadline_ms))
         if self.refusal:
             raise self.refusal
         kind = "text/event-stream" if work.stream else "application/json"
@@ -75,50 +77,50 @@
         return self.is_ready
 
     def _run(self, gone: Callable[[], bool]) -> Iterator[bytes]:
-        self.begun += 1
+        self.started_count += 1
         try:
             yield from self._chunks(gone)
         finally:
-            self.closed += 1
+            self.closed_count += 1
 
     def _chunks(self, gone: Callable[[], bool]) -> Iterator[bytes]:
         for number in range(self.chunks):
             yield chunk(number)
-        if self.waits_gone:
+        if self.waits_for_disconnect:
             wait_for(gone)
             raise MimosaspurError(ResultCode.CANCELLED, outcome=Outcome.UNKNOWN)
         while self.endless:
             yield b"x" * 1000
-        if not self.free.wait(BOUND_S):
+        if not self.release.wait(TIMEOUT_S):
             raise AssertionError("the test never let the answer go")
         if self.failure:
             raise self.failure
-        yield LAST
+        yield FINAL_EVENT
 
 
 def chunk(number: int) -> bytes:
     return f"data: {number}\n\n".encode()
 
 
-def expected(chunks: int) -> bytes:
+def expected_chunks(chunks: int) -> bytes:
     return b"".join(chunk(number) for number in range(chunks))
 
 
-def dial(context: Context) -> socket.socket:
+def connect(context: Context) -> socket.socket:
     host, port = context.callers.address.split(":")
-    sock = socket.create_connection((host, int(port)), timeout=BOUND_S)
+    sock = socket.create_connection((host, int(port)), timeout=TIMEOUT_S)
     context.add_cleanup(sock.close)
     return sock
 
 
-def ask(
+def send_request(
     context: Context,
     method: str,
     path: str,
     body: bytes = b"",
     headers: dict[str, str] | None = None,
 ) -> None:
-    connection = http.client.HTTPConnection(context.callers.address, timeout=BOUND_S)
+    connection = http.client.HTTPConnection(context.callers.address, timeout=TIMEOUT_S)
     context.add_cleanup(connection.close)
     connection.request(method, path, body or None, headers or {})
     context.response = connection.getresponse()
@@ -130,8 +132,8 @@
         context.complete = False
 
 
-def ask_raw(context: Context, head: str, body: bytes, *, finish: bool = False) -> None:
-    sock = dial(context)
+def send_raw_request(context: Context, head: str, body: bytes, *, finish: bool = False) -> None:
+    sock = connect(context)
     sock.sendall(head.encode() + b"\r\n\r\n" + body)
     if finish:
         sock.shutdown(socket.SHUT_WR)
@@ -141,18 +143,18 @@
 
 
 def chat_body(*, stream: bool) -> bytes:
-    return json.dumps({**GOOD, "stream": stream}).encode()
+    return json.dumps({**VALID_REQUEST, "stream": stream}).encode()
 
 
 def open_chat(context: Context, *, stream: bool) -> socket.socket:
-    sock = dial(context)
+    sock = connect(context)
     body = chat_body(stream=stream)
     head = f"POST {CHAT} HTTP/1.1\r\nHost: e\r\nContent-Length: {len(body)}\r\n\r\n"
     sock.sendall(head.encode() + body)
     return sock
 
 
-def error_of(context: Context) -> dict[str, Any]:
+def response_error(context: Context) -> dict[str, Any]:
     error: dict[str, Any] = json.loads(context.body)["error"]
     return error
 
@@ -164,12 +166,12 @@
     return {name.strip(): value.strip() for name, _, value in pairs}
 
 
-def stop_quietly(server: CallerServer, dispatcher: FakeDispatcher) -> None:
-    dispatcher.free.set()
+def release_and_stop(server: CallerServer, dispatcher: FakeDispatcher) -> None:
+    dispatcher.release.set()
     server.stop(0)
 
 
-def read_answer(context: Context) -> None:
+def read_response(context: Context) -> None:
     # Read unbuffered, so that one answer leaves the next one on the connection.
     head = b""
     while not head.endswith(b"\r\n\r\n"):
--- a/features/harness/direct_engine.py
+++ b/features/harness/direct_engine.py
@@ -88,7 +88,7 @@
     def _current_report(self) -> EngineReport:
         return EngineReport(
             residents={model: frozenset(names) for model, names in self.residents.items()},
-            coming_adapters=frozenset(),
+            pending_adapters=frozenset(),
             busy=self.busy,
             sequence=self.sequence,
             waiting=0,
@@ -109,7 +109,7 @@
         if order.expected_sequence != self.sequence or self.busy:
             return OrderOutcome.CONFLICT
         if self._holds(order):
-            return OrderOutcome.ALREADY_SO
+            return OrderOutcome.ALREADY_APPLIED
         self.sequence += 1
         self.accepted.append(order)
         if order.adapter:
--- a/features/harness/direct_moves.py
+++ b/features/harness/direct_moves.py
@@ -27,7 +27,7 @@
 
     async def report(self, target: TargetRecord) -> EngineReport | None:
         """Tell when the engine will be gone."""
-        return EngineReport({}, frozenset(), False, 0, 0, 1, 0, gone_in_ms=self.gone_in_ms)
+        return EngineReport({}, frozenset(), False, 0, 0, 1, 0, terminates_in_ms=self.gone_in_ms)
 
     async def stop_and_copy(
         self, source: TargetRecord, request: bytes, to: TargetRecord
--- a/features/harness/drain_world.py
+++ b/features/harness/drain_world.py
@@ -22,9 +22,9 @@
 from mimosaspur_transport.wire import ConnectionLost
 from mimosaspur_transport.wire import connect
 
-TOKENS = 3
-PROBE_MS = 2000
-VERSIONS = 30
+MAX_TOKENS = 3
+PROBE_TIMEOUT_MS = 2000
+MAX_VERSIONS = 30
 
 
 @dataclass(slots=True)
@@ -41,7 +41,7 @@
 
     def start(self) -> "Traffic":
         """Begin."""
-        self.steady = Steady(self._ask)
+        self.steady = Steady(self._send_request)
         return self
 
     def stop(self) -> None:
@@ -49,69 +49,71 @@
         assert self.steady
         self.steady.stop()
 
-    def _ask(self) -> None:
+    def _send_request(self) -> None:
         content = f"{self.address} {self.sent}"
         self.sent += 1
         if self.service:
             reply = service_call(self.address, self.name, content).wait()
             good = reply.status == 200 and reply.json()["echo"] == content
         else:
-            reply = chat_call(self.address, self.name, content, max_tokens=TOKENS).wait()
-            good = reply.whole() and self._versioned(reply, content)
+            reply = chat_call(self.address, self.name, content, max_tokens=MAX_TOKENS).wait()
+            good = reply.is_complete() and self._record_version(reply, content)
         if not good:
             self.failures.append((reply.status, reply.body, reply.broken))
 
-    def _versioned(self, reply: Reply, content: str) -> bool:
-        for version in range(VERSIONS):
-            if reply.text() == expected_answer(f"{self.name}@{version}", content, TOKENS):
+    def _record_version(self, reply: Reply, content: str) -> bool:
+        for version in range(MAX_VERSIONS):
+            if reply.text() == expected_answer(f"{self.name}@{version}", content, MAX_TOKENS):
                 self.versions.append(version)
                 return True
         return False
 
 
-def runs(site: Site, target: str) -> int:
+def run_count(site: Site, target: str) -> int:
     """Return how many requests a target's engine or service has run."""
     if target in site.services:
         return sum(site.service_log(target)["by_body"].values())
     return sum(site.engine_log(target)["runs"].values())
 
 
-def holders(site: Site, model: str, *states: str) -> set[str]:
+def targets_holding(site: Site, model: str, *states: str) -> set[str]:
     """Return the targets that hold a model in one of these states."""
     found = site.replicas(model).items()
     return {key.split()[0] for key, state in found if state in (states or ("ready", "leaving"))}
 
 
-def carriers(site: Site, service: str) -> set[str]:
+def service_targets(site: Site, service: str) -> set[str]:
     """Return the targets that the record of a service names."""
-    found = site.store().get(keys.carrier(REGION, service))
+    found = site.store().get(keys.service_registration(REGION, service))
     return {replica["target"] for replica in found.value["replicas"]} if found else set()
 
 
-def await_off(site: Site, target: str) -> None:
+def wait_until_drained(site: Site, target: str) -> None:
     """Wait until a target has left all records and says that it drains."""
     names = ("notes", "dispatch")
 
     def off() -> bool:
-        placed = any(target in holders(site, n, "load", "ready", "leaving") for n in names)
-        return not placed and target not in carriers(site, "bookings")
+        placed = any(target in targets_holding(site, n, "load", "ready", "leaving") for n in names)
+        return not placed and target not in service_targets(site, "bookings")
 
     wait_for(off, f"no record names {target}")
-    wait_for(partial(_drains, site, target), f"{target} drains")
+    wait_for(partial(_is_draining, site, target), f"{target} drains")
 
 
-def _drains(site: Site, target: str) -> bool:
+def _is_draining(site: Site, target: str) -> bool:
     status = site.store().get(keys.status(REGION, target))
     return bool(status and status.value["draining"])
 
 
-def generation(site: Site, name: str) -> int:
+def read_generation(site: Site, name: str) -> int:
     """Ask a process for its generation, an entry over HTTP and a target as a peer does."""
     daemon = site.daemons[name]
     if daemon.role == "entry":
-        return int(ask(daemon.address, "/healthz")[1]["generation"])
+        return int(get_json(daemon.address, "/healthz")[1]["generation"])
     try:
-        wire = connect(daemon.address, connect_ms=PROBE_MS, send_timeout_ms=PROBE_MS)
+        wire = connect(
+            daemon.address, connect_ms=PROBE_TIMEOUT_MS, send_timeout_ms=PROBE_TIMEOUT_MS
+        )
     except ConnectionLost:
         return -1
     try:
@@ -126,10 +128,10 @@
     return -1
 
 
-def ask(address: str, path: str) -> tuple[int, Any]:
+def get_json(address: str, path: str) -> tuple[int, Any]:
     """Return the status and the JSON that an entry gives at a path."""
     host, _, port = address.rpartition(":")
-    connection = http.client.HTTPConnection(host, int(port), timeout=PROBE_MS / 1000)
+    connection = http.client.HTTPConnection(host, int(port), timeout=PROBE_TIMEOUT_MS / 1000)
     try:
         connection.request("GET", path)
         response = connection.getresponse()
--- a/features/harness/frames_world.py
+++ b/features/harness/frames_world.py
@@ -22,12 +22,12 @@
 from mimosaspur_transport.wire import Wire
 
 ANSWER = b"0123456789"
-KEY = ("r1", 1)
+ATTEMPT_KEY = ("r1", 1)
 SILENT_MS = 300
 HEARTBEAT_MS = 50
 
 
-class HandClock(SystemClock):
+class ManualClock(SystemClock):
     """Add what a step says to the machine's clock."""
 
     def __init__(self) -> None:
@@ -44,11 +44,11 @@
     draining = False
 
     def __init__(self) -> None:
-        self.begun: list[RunningAttempt] = []
+        self.started: list[RunningAttempt] = []
 
-    def begin(self, attempt: RunningAttempt) -> None:
+    def start(self, attempt: RunningAttempt) -> None:
         """Begin an attempt."""
-        self.begun.append(attempt)
+        self.started.append(attempt)
 
 
 class ScriptedTarget:
@@ -59,16 +59,18 @@
         self.socket = socket.create_server(("127.0.0.1", 0))
         host, port = self.socket.getsockname()
         self.address = f"{host}:{port}"
-        self.opened = 0
-        self.over = threading.Event()
-        threading.Thread(target=self._accept, daemon=True).start()
+        self.connection_count = 0
+        self.stopped = threading.Event()
+        threading.Thread(target=self._accept_connections, daemon=True).start()
 
-    def _accept(self) -> None:
-        while not self.over.is_set():
+    def _accept_connections(self) -> None:
+        while not self.stopped.is_set():
             sock, _ = self.socket.accept()
-            self.opened += 1
+            self.connection_count += 1
             wire = Wire(sock, send_timeout_ms=10 * SILENT_MS)
-            threading.Thread(target=self._serve, args=(wire, self.opened), daemon=True).start()
+            threading.Thread(
+                target=self._serve, args=(wire, self.connection_count), daemon=True
+            ).start()
 
     def _serve(self, wire: Wire, number: int) -> None:
         habit = self.habit if number == 1 else ""
@@ -90,19 +92,19 @@
 
     def _stream(self, wire: Wire, offset: int, habit: str) -> None:
         if offset == 0:
-            wire.send(Started(*KEY, 200, "text/plain", False))
+            wire.send(Started(*ATTEMPT_KEY, 200, "text/plain", False))
         match habit:
             case "streams and never answers a Ping":
                 threading.Thread(target=self._trickle, args=(wire,), daemon=True).start()
             case "ends in the middle":
-                wire.send(Chunk(*KEY, 0, ANSWER[:4]))
+                wire.send(Chunk(*ATTEMPT_KEY, 0, ANSWER[:4]))
                 wire.close()
             case _:
-                wire.send(Chunk(*KEY, offset, ANSWER[offset:]))
-                wire.send(End(*KEY, len(ANSWER)))
+                wire.send(Chunk(*ATTEMPT_KEY, offset, ANSWER[offset:]))
+                wire.send(End(*ATTEMPT_KEY, len(ANSWER)))
 
     def _trickle(self, wire: Wire) -> None:
         # A piece that says nothing new, again and again, as a long answer's pieces come.
         with contextlib.suppress(ConnectionLost):
-            while not self.over.wait(HEARTBEAT_MS / 1000):
-                wire.send(Chunk(*KEY, 0, ANSWER[:4]))
+            while not self.stopped.wait(HEARTBEAT_MS / 1000):
+                wire.send(Chunk(*ATTEMPT_KEY, 0, ANSWER[:4]))
--- a/features/harness/memory_replay.py
+++ b/features/harness/memory_replay.py
@@ -16,9 +16,9 @@
 from mimosaspur_state.engine import ResidentState
 from mimosaspur_state.ledger import MemoryLedger
 
-DELAY_MS = 100
+MAX_ORDER_DELAY_MS = 100
 CAPACITY_MB = (1000, 700)
-NAMES = ("a@1", "b@1", "c@1")
+RESIDENT_IDS = ("a@1", "b@1", "c@1")
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,8 +28,8 @@
     order_id: str
     resident: str
     memory_mb: int
-    place: tuple[int, ...]
-    tries: list[tuple[int, bool]]
+    accelerators: tuple[int, ...]
+    sends: list[tuple[int, bool]]
 
 
 @dataclass(slots=True)
@@ -48,36 +48,36 @@
             for index in resident.accelerators:
                 free[index] -= resident.memory_mb
         for order in self.orders:
-            shown = shows(last, order) or last.resident(order.resident) is not None
-            if not shown and not self.settled(order):
-                for index in order.place:
+            shown = includes_order(last, order) or last.resident(order.resident) is not None
+            if not shown and not self.is_settled(order):
+                for index in order.accelerators:
                     free[index] -= order.memory_mb
         return tuple(max(0, mb) for mb in free)
 
-    def settled(self, order: Order) -> bool:
+    def is_settled(self, order: Order) -> bool:
         """Tell whether a report settled an order, in the order in which reports came."""
-        sent_ms = max(at for at, _ in order.tries)
-        all_answered = all(answered for _, answered in order.tries)
+        sent_ms = max(at for at, _ in order.sends)
+        all_answered = all(answered for _, answered in order.sends)
         newest = -1
         for asked, report in self.reports:
             if asked < newest:
                 continue
             newest = asked
-            if asked - sent_ms >= DELAY_MS:
+            if asked - sent_ms >= MAX_ORDER_DELAY_MS:
                 return True
-            if asked >= sent_ms and all_answered and shows(report, order):
+            if asked >= sent_ms and all_answered and includes_order(report, order):
                 return True
         return False
 
 
-def shows(report: EngineState, order: Order) -> bool:
+def includes_order(report: EngineState, order: Order) -> bool:
     """Tell whether a report shows an order."""
     if any(known.order_id == order.order_id for known in report.orders):
         return True
     return any(resident.order_id == order.order_id for resident in report.residents)
 
 
-def reported(data: strategies.DataObject, history: History) -> EngineState:
+def draw_report(data: strategies.DataObject, history: History) -> EngineState:
     """Make up a report: any orders done, any residents there, ours or not."""
     known = []
     residents = {}
@@ -85,13 +85,15 @@
         if data.draw(strategies.booleans()):
             known.append(OrderState(order.order_id, OrderOutcome.DONE))
         if data.draw(strategies.booleans()):
-            residents[order.resident] = resident(order.resident, order.memory_mb, order.place)
+            residents[order.resident] = make_resident(
+                order.resident, order.memory_mb, order.accelerators
+            )
     if data.draw(strategies.booleans()):
-        residents["import@1"] = resident("import@1", 50, (0,))
+        residents["import@1"] = make_resident("import@1", 50, (0,))
     return EngineState("engine", 1, CAPACITY_MB, tuple(residents.values()), tuple(known))
 
 
-def resident(name: str, memory_mb: int, place: tuple[int, ...]) -> Resident:
+def make_resident(name: str, memory_mb: int, place: tuple[int, ...]) -> Resident:
     """Make up a resident."""
     kind = ResidentKind.MODEL
     return Resident(name, None, kind, memory_mb, place, ResidentState.READY, "")
@@ -99,27 +101,29 @@
 
 def replay(data: strategies.DataObject) -> None:
     """Let random things happen to a ledger and compare its sums after each."""
-    ledger = MemoryLedger(longest_order_delay_ms=DELAY_MS)
+    ledger = MemoryLedger(max_order_delay_ms=MAX_ORDER_DELAY_MS)
     history = History()
     now_ms = 1
-    take_in(ledger, history, EngineState("engine", 1, CAPACITY_MB), now_ms)
+    apply_report(ledger, history, EngineState("engine", 1, CAPACITY_MB), now_ms)
     for number in range(data.draw(strategies.integers(1, 20))):
         now_ms += data.draw(strategies.integers(0, 60))
         if data.draw(strategies.booleans()):
             asked = now_ms - data.draw(strategies.integers(0, 40))
-            take_in(ledger, history, reported(data, history), max(1, asked))
+            apply_report(ledger, history, draw_report(data, history), max(1, asked))
         else:
-            send(data, ledger, history, f"order-{number}", now_ms)
+            send_order(data, ledger, history, f"order-{number}", now_ms)
         assert ledger.free_mb() == history.free_mb(), (ledger, history)
 
 
-def take_in(ledger: MemoryLedger, history: History, report: EngineState, asked_ms: int) -> None:
+def apply_report(
+    ledger: MemoryLedger, history: History, report: EngineState, asked_ms: int
+) -> None:
     """Give a report to both."""
     history.reports.append((asked_ms, report))
-    ledger.settle(report, asked_at_ms=asked_ms)
+    ledger.apply_report(report, requested_at_ms=asked_ms)
 
 
-def send(
+def send_order(
     data: strategies.DataObject,
     ledger: MemoryLedger,
     history: History,
@@ -128,14 +132,14 @@
 ) -> None:
     """Reserve and send an order, or repeat one that is held."""
     answered = data.draw(strategies.booleans())
-    held = [order for order in history.orders if order.order_id in ledger.held]
+    held = [order for order in history.orders if order.order_id in ledger.pending]
     repeats: bool = data.draw(strategies.booleans())
     if held and repeats:
         again = held[data.draw(strategies.integers(0, len(held) - 1))]
-        again.tries.append((now_ms, answered))
-        ledger.sent(again.order_id, at_ms=now_ms, answered=answered)
+        again.sends.append((now_ms, answered))
+        ledger.record_send(again.order_id, at_ms=now_ms, answered=answered)
         return
-    name = data.draw(strategies.sampled_from(NAMES))
+    name = data.draw(strategies.sampled_from(RESIDENT_IDS))
     memory_mb = data.draw(strategies.integers(1, 600))
     count = data.draw(strategies.integers(1, 2))
     free = history.free_mb()
@@ -146,7 +150,7 @@
         return
     assert len(place) == count
     assert set(place) <= set(fitting), (place, free, memory_mb)
-    ledger.sent(order_id, at_ms=now_ms, answered=answered)
+    ledger.record_send(order_id, at_ms=now_ms, answered=answered)
     history.orders.append(Order(order_id, name, memory_mb, place, [(now_ms, answered)]))
 
 
--- a/features/harness/memory_world.py
+++ b/features/harness/memory_world.py
@@ -14,8 +14,8 @@
 from harness import control
 from harness.control import call
 from mimosaspur_coordination.mirror import Mirror
-from mimosaspur_daemon.engine_keeper import EngineKeeper
-from mimosaspur_daemon.engine_situation import ServingSide
+from mimosaspur_daemon.engine_reconciler import EngineReconciler
+from mimosaspur_daemon.engine_snapshot import ServingHooks
 from mimosaspur_load.processes import stop_gracefully
 from mimosaspur_state import keys
 from mimosaspur_state.bundle import AdapterEntry
@@ -33,42 +33,42 @@
 from mimosaspur_transport.engine import EngineAdmin
 from mimosaspur_transport.objectapi import HttpObjectStore
 
-BOUND_S = 10.0
-POLL_S = 0.01
-POLL_MS = 40
+TIMEOUT_S = 10.0
+POLL_INTERVAL_S = 0.01
+ENGINE_POLL_MS = 40
 REGION = "alajuela"
 TARGET = "target-1"
-OTHER = "target-2"
+OTHER_TARGET = "target-2"
 ENGINE_TIMEOUT_MS = 1000
 STORE_TIMEOUT_MS = 1000
 WATCH_MS = 1000
-RATE = 1000.0
+REQUESTS_PER_SECOND = 1000.0
 
 
-wait_for = partial(control.wait_for, bound_s=BOUND_S, poll_s=POLL_S)
+wait_for = partial(control.wait_for, bound_s=TIMEOUT_S, poll_s=POLL_INTERVAL_S)
 
 
-def stays(condition: Callable[[], bool], ms: int, what: str) -> None:
+def assert_holds(condition: Callable[[], bool], ms: int, what: str) -> None:
     """Check that a condition holds over a time."""
     end = time.monotonic() + ms / 1000
     while time.monotonic() < end:
         assert condition(), what
-        time.sleep(POLL_S)
+        time.sleep(POLL_INTERVAL_S)
 
 
 @dataclass(slots=True)
-class Running:
+class RunningReconciler:
     """Hold a keeper and the threads that drive it."""
 
-    keeper: EngineKeeper
+    reconciler: EngineReconciler
     stop: threading.Event
     threads: list[threading.Thread]
 
     def kill(self) -> None:
         """End it without any farewell."""
         self.stop.set()
-        self.keeper.wake.set()
-        self.threads[0].join(BOUND_S)
+        self.reconciler.wake.set()
+        self.threads[0].join(TIMEOUT_S)
 
 
 class PausedClock(SystemClock):
@@ -85,15 +85,15 @@
 
 
 @dataclass(slots=True)
-class Serving:
+class FakeServing:
     """Stand in for the serving side."""
 
     requests: dict[str, int] = field(default_factory=dict)
     closed: set[str] = field(default_factory=set)
 
-    def side(self) -> ServingSide:
+    def hooks(self) -> ServingHooks:
         """Return what the keeper is given."""
-        return ServingSide(
+        return ServingHooks(
             lambda name: self.requests.get(name, 0), self.closed.add, self.closed.discard
         )
 
@@ -104,8 +104,8 @@
 
     context: Context
     capacity_mb: list[int] = field(default_factory=lambda: [1000])
-    checks: bool = True
-    delay_ms: int = 500
+    checks_fencing: bool = True
+    max_order_delay_ms: int = 500
     load_ms: int = 30
     engine: str = ""
     engine_process: Any = None
@@ -113,12 +113,12 @@
     store: HttpObjectStore = field(init=False)
     models: dict[str, ModelEntry] = field(default_factory=dict)
     index: BundleIndex | None = None
-    keepers: list[Running] = field(default_factory=list)
-    serving: Serving = field(default_factory=Serving)
+    reconcilers: list[RunningReconciler] = field(default_factory=list)
+    serving: FakeServing = field(default_factory=FakeServing)
     clock: PausedClock = field(default_factory=PausedClock)
-    struck_ms: float = 0
-    late_ms: int = 0
-    loaded_at: int = 0
+    fault_applied_at_ms: float = 0
+    fault_delay_ms: int = 0
+    ready_revision: int = 0
 
     def start_api(self) -> None:
         """Start the object API."""
@@ -129,7 +129,7 @@
         """Start the engine, at its former address if it had one."""
         options = [f"--capacity-mb={mb}" for mb in self.capacity_mb]
         options += [f"--load-ms={self.load_ms}", f"--address={self.engine or '127.0.0.1:0'}"]
-        if not self.checks:
+        if not self.checks_fencing:
             options.append("--ignore-fencing")
         self.engine_process = self.context.processes.start_stand_in("engine", *options)
         self.engine = self.engine_process.address
@@ -142,7 +142,7 @@
 
     def check_memory(self) -> None:
         """Check the engine's own sums."""
-        log = self.log()
+        log = self.engine_log()
         sums = f"at most {log['max_used_mb']} of {self.capacity_mb} MB"
         assert not log["overcommitted"], f"the engine was overcommitted: {sums}"
 
@@ -153,8 +153,8 @@
             caller=caller,
             timeout_ms=STORE_TIMEOUT_MS,
             clock=SystemClock(),
-            reads_per_second=RATE,
-            writes_per_second=RATE,
+            reads_per_second=REQUESTS_PER_SECOND,
+            writes_per_second=REQUESTS_PER_SECOND,
         )
 
     def settings(self) -> Settings:
@@ -167,18 +167,18 @@
                 "listen": "127.0.0.1:0",
                 "kind": "engine",
                 "address": self.engine,
-                "checks_fencing": self.checks,
-                "longest_order_delay_ms": self.delay_ms,
-                "poll_ms": POLL_MS,
+                "checks_fencing": self.checks_fencing,
+                "longest_order_delay_ms": self.max_order_delay_ms,
+                "poll_ms": ENGINE_POLL_MS,
             },
         }
         return settings_from_text(json.dumps(value), file="memory.feature")
 
-    def start_keeper(self) -> None:
+    def start_reconciler(self) -> None:
         """Start a keeper with its mirror."""
         store = self.new_store(TARGET)
         mirror = Mirror(store, (keys.placements(REGION),), wait_ms=WATCH_MS)
-        keeper = EngineKeeper(
+        keeper = EngineReconciler(
             self.settings(),
             store,
             EngineAdmin(self.engine, ENGINE_TIMEOUT_MS),
@@ -186,26 +186,26 @@
             mirror,
             lambda: self.index,
             Metrics(),
-            serving=self.serving.side(),
+            serving=self.serving.hooks(),
         )
         stop = threading.Event()
         runs = (keeper.run, mirror.run)
         threads = [threading.Thread(target=run, args=(stop,), daemon=True) for run in runs]
-        self.keepers.append(Running(keeper, stop, threads))
+        self.reconcilers.append(RunningReconciler(keeper, stop, threads))
         for thread in threads:
             thread.start()
 
     @property
-    def keeper(self) -> EngineKeeper:
+    def reconciler(self) -> EngineReconciler:
         """Return the newest keeper."""
-        return self.keepers[-1].keeper
+        return self.reconcilers[-1].reconciler
 
     def close(self) -> None:
         """End all keepers."""
-        for running in self.keepers:
+        for running in self.reconcilers:
             running.kill()
 
-    def serve(
+    def add_model(
         self, resident: str, memory_mb: int, adapters_mb: list[int], *, changed: str = "1"
     ) -> None:
         """Put a model in the bundle in force."""
@@ -219,17 +219,17 @@
         bundle = Bundle("memory", tuple(self.models.values()))
         self.index = BundleIndex.build(generation, bundle)
 
-    def record(self, name: str) -> PlacementRecord:
+    def read_record(self, name: str) -> PlacementRecord:
         """Read a model's placement record."""
         item = self.store.get(keys.placement(REGION, name))
         return placement_from_value(item.value) if item else PlacementRecord(name, 1)
 
-    def place(self, resident: str, state: ReplicaState, *, target: str = TARGET) -> None:
+    def write_replica(self, resident: str, state: ReplicaState, *, target: str = TARGET) -> None:
         """Write a replica into its model's record."""
         name, _, version = resident.partition("@")
-        self.write(self.record(name).with_replica(Replica(target, version, state)))
+        self.write_record(self.read_record(name).with_replica(Replica(target, version, state)))
 
-    def write(self, record: PlacementRecord) -> None:
+    def write_record(self, record: PlacementRecord) -> None:
         """Write a record whatever its version."""
         key = keys.placement(REGION, record.model)
         item = self.store.get(key)
@@ -238,10 +238,10 @@
         else:
             self.store.update(key, record.to_value(), item.version)
 
-    def state_here(self, resident: str) -> ReplicaState | None:
+    def replica_state(self, resident: str) -> ReplicaState | None:
         """Return the state of this target's replica in the record."""
         name, _, version = resident.partition("@")
-        for replica in self.record(name).on(TARGET):
+        for replica in self.read_record(name).on_target(TARGET):
             if replica.version == version:
                 return replica.state
         return None
@@ -251,6 +251,6 @@
         found = call(self.engine, "GET", "/admin/state")["residents"]
         return {item["id"]: item["state"] for item in found if item["kind"] != "import"}
 
-    def log(self) -> Any:
+    def engine_log(self) -> Any:
         """Return what the engine notes for us."""
         return call(self.engine, "GET", "/log")
--- a/features/harness/operators.py
+++ b/features/harness/operators.py
@@ -14,12 +14,12 @@
 from mimosaspur_load.processes import Started
 
 COMMAND = (sys.executable, "-m", "mimosaspur_cli.main")
-COMMAND_S = 60.0
-CALL_S = 5.0
+COMMAND_TIMEOUT_S = 60.0
+CALL_TIMEOUT_S = 5.0
 
 
 @dataclass(slots=True)
-class Ended:
+class CommandResult:
     """Hold how a command ended."""
 
     exit_code: int
@@ -36,7 +36,7 @@
         return found
 
 
-class OperatorDesk:
+class OperatorCli:
     """Run commands against one object API stand-in, and prepare what they meet there."""
 
     def __init__(self, processes: Processes) -> None:
@@ -53,19 +53,21 @@
         }
         return self.processes.spawn(command, environment=environment)
 
-    def wait(self, started: Started) -> Ended:
+    def wait(self, started: Started) -> CommandResult:
         """Wait for a command's end, within a bound."""
         try:
-            output, _ = started.process.communicate(timeout=COMMAND_S)
+            output, _ = started.process.communicate(timeout=COMMAND_TIMEOUT_S)
         except subprocess.TimeoutExpired as error:
-            raise AssertionError(f"no end in {COMMAND_S} s: {started.error_text()}") from error
-        return Ended(started.process.returncode, output.decode(), started.error_text())
+            raise AssertionError(
+                f"no end in {COMMAND_TIMEOUT_S} s: {started.error_text()}"
+            ) from error
+        return CommandResult(started.process.returncode, output.decode(), started.error_text())
 
-    def run(self, operator: str, *arguments: str) -> Ended:
+    def run(self, operator: str, *arguments: str) -> CommandResult:
         """Run a command by an operator to its end."""
         return self.wait(self.start(operator, *arguments))
 
-    def file(self, name: str, text: str) -> Path:
+    def write_file(self, name: str, text: str) -> Path:
         """Write a file for a command to read."""
         path = self.folder / name
         path.write_text(text, encoding="utf-8")
@@ -78,21 +80,21 @@
             f"http://{self.api.address}{path}",
             body=None if value is None else json.dumps(value),
             headers={name.replace("_", "-"): text for name, text in headers.items()},
-            timeout=CALL_S,
+            timeout=CALL_TIMEOUT_S,
             retries=False,
         )
         assert response.status == 200, f"{method} {path}: {response.status} {response.data!r}"
         return response.json()
 
-    def put(self, key: str, value: object) -> None:
+    def create_object(self, key: str, value: object) -> None:
         """Create an object."""
         self.call("PUT", f"/objects/{key}", value, If_None_Match="*")
 
-    def fault(self, kind: str, match: str, count: int, delay_ms: int = 0) -> None:
+    def add_fault(self, kind: str, match: str, count: int, delay_ms: int = 0) -> None:
         """Order a fault; a count of -1 lasts."""
         wanted = {"kind": kind, "match": match, "count": count, "delay_ms": delay_ms}
         self.call("POST", "/faults", wanted)
 
-    def struck(self) -> int:
+    def triggered_faults(self) -> int:
         """Return how often faults struck."""
         return sum(fault["struck"] for fault in self.call("GET", "/faults")["faults"])
--- a/features/harness/planner_world.py
+++ b/features/harness/planner_world.py
@@ -56,7 +56,7 @@
         """Put a bundle in force."""
         self.index = BundleIndex.build(self.index.generation + 1, bundle)
         for model in bundle.models:
-            self.former_entries[model.resident()] = model
+            self.former_entries[model.resident_id()] = model
             self.needs[(model.name, model.version)] = Need.of(model)
 
     def run_planner(self) -> list[RecordChange]:
@@ -95,7 +95,7 @@
             return
         target = self.targets[name]
         for placed in list(self.records.values()):
-            for replica in placed.record.on(name):
+            for replica in placed.record.on_target(name):
                 if replica.state is ReplicaState.LOAD:
                     self._load(target, placed.record.model, replica)
                 elif replica.state is ReplicaState.LEAVING:
@@ -104,7 +104,7 @@
                     self._update_adapters(target, entry)
         for model, version in list(target.loaded):
             placed_now = self.records.get(model)
-            on = placed_now.record.on(name) if placed_now else []
+            on = placed_now.record.on_target(name) if placed_now else []
             if version not in [replica.version for replica in on]:
                 target.unload((model, version))
         self.check_limits()
@@ -154,7 +154,7 @@
             planned = {
                 (placed.record.model, item.version)
                 for placed in self.records.values()
-                for item in placed.record.on(name)
+                for item in placed.record.on_target(name)
             }
             # What a target holds may still have other adapters than the bundle names.
             needs = [held[0] for held in target.loaded.values()]
@@ -185,7 +185,7 @@
 
         adapters = self.former_entries[f"{model}@{replica.version}"].adapters
         target.adapters[(model, replica.version)] = {
-            item.resident(): item.memory_mb for item in adapters
+            item.resident_id(): item.memory_mb for item in adapters
         }
 
     def _unreserved_mb(self, target: SimulatedTarget) -> list[int]:
@@ -196,7 +196,7 @@
             if entry is None or entry.version != key[1]:
                 continue
             present = target.adapters.get(key, {})
-            missing = [item for item in entry.adapters if item.resident() not in present]
+            missing = [item for item in entry.adapters if item.resident_id() not in present]
             for index in chosen:
                 free_mb[index] -= sum(item.memory_mb for item in missing)
         return free_mb
@@ -207,16 +207,16 @@
 
     def _is_complete(self, name: str, entry: ModelEntry) -> bool:
         present = self.targets[name].adapters.get((entry.name, entry.version), {})
-        return all(item.resident() in present for item in entry.adapters)
+        return all(item.resident_id() in present for item in entry.adapters)
 
     def _update_adapters(self, target: SimulatedTarget, entry: ModelEntry) -> None:
         """Load one missing adapter, as an engine keeper does, then unload what it replaces."""
         key = (entry.name, entry.version)
         present = target.adapters.get(key, {})
-        missing = [item for item in entry.adapters if item.resident() not in present]
+        missing = [item for item in entry.adapters if item.resident_id() not in present]
         if missing:
-            target.load_adapter(key, missing[0].resident(), missing[0].memory_mb)
-        wanted = {item.name: item.resident() for item in entry.adapters}
+            target.load_adapter(key, missing[0].resident_id(), missing[0].memory_mb)
+        wanted = {item.name: item.resident_id() for item in entry.adapters}
         for name in list(present):
             successor = wanted.get(name.rpartition("@")[0])
             if successor is None or (successor != name and successor in present):
--- a/features/harness/reach_world.py
+++ b/features/harness/reach_world.py
@@ -14,44 +14,44 @@
 from mimosaspur_standins.answers import expected_answer
 
 SAMPLE_TOKENS = 2
-PAUSE_S = 0.02
-LONGEST_CALL_S = 60.0
+SAMPLE_INTERVAL_S = 0.02
+CALL_TIMEOUT_S = 60.0
 
 
-def bundle_of(text: str) -> list[dict[str, Any]]:
+def parse_models(text: str) -> list[dict[str, Any]]:
     """Read "a@1:500:p3+x@1:50 b@1:300" as models with adapters."""
-    return [_model(item) for item in text.split()]
+    return [_parse_model(item) for item in text.split()]
 
 
-def names_of(text: str) -> list[str]:
+def served_names(text: str) -> list[str]:
     """Return the served names of a bundle written so."""
     found = []
-    for entry in bundle_of(text):
+    for entry in parse_models(text):
         found += [entry["name"], *(adapter["name"] for adapter in entry.get("adapters", ()))]
     return found
 
 
-def residents_of(text: str) -> dict[str, str]:
+def residents_by_name(text: str) -> dict[str, str]:
     """Return the resident that each served name stands for."""
     found = {}
-    for entry in bundle_of(text):
+    for entry in parse_models(text):
         for part in (entry, *entry.get("adapters", ())):
             found[part["name"]] = f"{part['name']}@{part['version']}"
     return found
 
 
-def _model(text: str) -> dict[str, Any]:
+def _parse_model(text: str) -> dict[str, Any]:
     base, *adapters = text.split("+")
     name, mb, *options = base.split(":")
     kinds = {"p": "priority", "r": "replicas"}
     extra: dict[str, Any] = {kinds[option[0]]: int(option[1:]) for option in options}
     if adapters:
-        extra["adapters"] = [_adapter(item) for item in adapters]
+        extra["adapters"] = [_parse_adapter(item) for item in adapters]
     plain, _, version = name.partition("@")
     return model(plain, version=version, mb=int(mb), **extra)
 
 
-def _adapter(text: str) -> dict[str, Any]:
+def _parse_adapter(text: str) -> dict[str, Any]:
     name, _, mb = text.partition(":")
     plain, _, version = name.partition("@")
     return {"name": plain, "version": version, "memory_mb": int(mb)}
@@ -63,39 +63,41 @@
 
     site: Site
     entry: str
-    may_be: dict[str, set[str]]
-    steadies: list[Steady] = field(default_factory=list)
-    asked: dict[str, int] = field(default_factory=dict)
+    allowed_residents: dict[str, set[str]]
+    repeaters: list[Steady] = field(default_factory=list)
+    request_counts: dict[str, int] = field(default_factory=dict)
     failures: list[str] = field(default_factory=list)
-    began: float = 0.0
+    started_at: float = 0.0
 
     def start(self) -> None:
         """Start one task for each name."""
-        self.began = time.monotonic()
-        self.asked = dict.fromkeys(self.may_be, 0)
-        for name in self.may_be:
-            ask = partial(self._ask, name)
-            self.steadies.append(Steady(ask, pause_s=PAUSE_S, end_s=LONGEST_CALL_S))
+        self.started_at = time.monotonic()
+        self.request_counts = dict.fromkeys(self.allowed_residents, 0)
+        for name in self.allowed_residents:
+            ask = partial(self._send_request, name)
+            self.repeaters.append(Steady(ask, pause_s=SAMPLE_INTERVAL_S, end_s=CALL_TIMEOUT_S))
 
     def stop(self) -> None:
         """End the samples; return when the last answer is in."""
-        for steady in self.steadies:
+        for steady in self.repeaters:
             steady.over.set()
-        for steady in self.steadies:
+        for steady in self.repeaters:
             steady.stop()
 
-    def asked_more_than(self, count: int) -> bool:
+    def all_counts_exceed(self, count: int) -> bool:
         """Tell whether each name was asked for more often."""
-        return min(self.asked.values()) > count
+        return min(self.request_counts.values()) > count
 
-    def _ask(self, name: str) -> None:
+    def _send_request(self, name: str) -> None:
         address = self.site.daemons[self.entry].public
-        self.asked[name] += 1
-        content = f"{name} {self.asked[name]}"
+        self.request_counts[name] += 1
+        content = f"{name} {self.request_counts[name]}"
         reply = chat_call(address, name, content, max_tokens=SAMPLE_TOKENS).wait()
-        wanted = [expected_answer(it, content, SAMPLE_TOKENS) for it in self.may_be[name]]
-        if not reply.whole() or reply.text() not in wanted:
-            at_ms = round((time.monotonic() - self.began) * 1000)
+        wanted = [
+            expected_answer(it, content, SAMPLE_TOKENS) for it in self.allowed_residents[name]
+        ]
+        if not reply.is_complete() or reply.text() not in wanted:
+            at_ms = round((time.monotonic() - self.started_at) * 1000)
             self.failures.append(f"{at_ms} ms {name}: {reply.status} {reply.body[:200]!r}")
 
 
@@ -105,9 +107,9 @@
     return {name: site.engine_log(name) for name in running}
 
 
-def rolled(site: Site, bundle: str) -> bool:
+def is_roll_complete(site: Site, bundle: str) -> bool:
     """Tell whether records and engines hold just what the bundle names."""
-    for entry in bundle_of(bundle):
+    for entry in parse_models(bundle):
         states = site.replicas(entry["name"])
         versions = {key.split()[1] for key in states}
         if versions != {entry["version"]} or set(states.values()) != {"ready"}:
@@ -116,4 +118,4 @@
     for engine in site.engines.values():
         residents = call(engine.address, "GET", "/admin/state")["residents"]
         held |= {item["id"] for item in residents}
-    return held == set(residents_of(bundle).values())
+    return held == set(residents_by_name(bundle).values())
--- a/features/harness/report_simulation.py
+++ b/features/harness/report_simulation.py
@@ -15,10 +15,10 @@
 from mimosaspur_daemon.direct.members import Members
 from mimosaspur_daemon.direct.reportedwork import ReportedWork
 from mimosaspur_protocol.peermessages import EntryReport
-from mimosaspur_protocol.peermessages import WorkAt
+from mimosaspur_protocol.peermessages import TargetWork
 from mimosaspur_protocol.peermessages import encode_peer
 from mimosaspur_state.clock import SystemClock
-from mimosaspur_state.fleet import Work
+from mimosaspur_state.fleet import OutstandingWork
 
 TOKENS_PER_REQUEST = 100
 RANK = 3
@@ -32,17 +32,19 @@
         self.targets = targets
         self.entries = [ReportedWork() for _ in range(entries)]
         # Reports on their way, and the last one heard, with their numbers.
-        self.in_transit: list[list[tuple[int, dict[str, WorkAt]]]] = [[] for _ in range(entries)]
-        self.received: list[tuple[int, dict[str, WorkAt]]] = [(0, {}) for _ in range(entries)]
-        self.last_sent: dict[str, WorkAt] = {}
+        self.in_transit: list[list[tuple[int, dict[str, TargetWork]]]] = [
+            [] for _ in range(entries)
+        ]
+        self.received: list[tuple[int, dict[str, TargetWork]]] = [(0, {}) for _ in range(entries)]
+        self.last_sent: dict[str, TargetWork] = {}
         # What each entry takes for others' work, as it was last told that it has changed.
-        self.views: list[dict[str, Work]] = [{} for _ in range(entries)]
+        self.views: list[dict[str, OutstandingWork]] = [{} for _ in range(entries)]
 
     def step(self, name: str, entry: int = 0, requests: Mapping[str, int] | None = None) -> None:
         """Take one step."""
         if name == "report":
             work = [
-                WorkAt(target, count, {RANK: count * TOKENS_PER_REQUEST}, count, {})
+                TargetWork(target, count, {RANK: count * TOKENS_PER_REQUEST}, count, {})
                 for target, count in (requests or {}).items()
             ]
             number = self.entries[entry].add_report(work)
@@ -63,10 +65,10 @@
             self.views[index].update(entry.apply_totals(changed))
             others = [work for at, (_, work) in enumerate(self.received) if at != index]
             for target, wanted in total_work(others, self.targets).items():
-                found = self.views[index].get(target, Work())
+                found = self.views[index].get(target, OutstandingWork())
                 assert found.requests == wanted.requests, (target, found, wanted)
                 assert found.held_tokens == wanted.held_tokens
-                assert sum(found.unread.values()) == sum(wanted.unread.values())
+                assert sum(found.prefill_tokens.values()) == sum(wanted.prefill_tokens.values())
 
 
 class CountingLink:
@@ -106,7 +108,7 @@
 
     def send_updates(self, *, work_at: int) -> None:
         """Let the first entry report work at so many targets, and tell all of it."""
-        work = [WorkAt(f"t{n}", 1, {}, 1, {}) for n in range(work_at)]
+        work = [TargetWork(f"t{n}", 1, {}, 1, {}) for n in range(work_at)]
         report = EntryReport("entry-0", 1, work, [], [], [])
         self.members.apply_report(report, self.members.members["entry-0"])
         for link in self.links.values():
--- a/features/harness/site.py
+++ b/features/harness/site.py
@@ -201,7 +201,7 @@
 
     def serves(self, entry: str, name: str) -> bool:
         """Tell whether an entry serves a model now."""
-        return chat_call(self.daemons[entry].public, name, "x", max_tokens=1).wait().whole()
+        return chat_call(self.daemons[entry].public, name, "x", max_tokens=1).wait().is_complete()
 
     def replicas(self, model: str) -> dict[str, str]:
         """Return the state of a model's replicas by target and version."""
--- a/features/steps/application_steps.py
+++ b/features/steps/application_steps.py
@@ -24,13 +24,13 @@
 from mimosaspur_state.eventlog import EventLog
 from mimosaspur_state.fleet import TargetRecord
 
-SIGNAL_AFTER_S = 0.2
+SIGNAL_DELAY_S = 0.2
 # Whoever does not hear of the signal is stopped all the same, so that the scenario ends.
-GIVEN_UP_S = 4.0
+RUN_TIMEOUT_S = 4.0
 
 
 def _send_signal() -> None:
-    time.sleep(SIGNAL_AFTER_S)
+    time.sleep(SIGNAL_DELAY_S)
     os.kill(os.getpid(), signal.SIGTERM)
 
 
@@ -48,7 +48,7 @@
 @when("another thread of it takes the signal")
 def run_application(context: Context) -> None:
     application: Application = context.application
-    rescue = threading.Timer(GIVEN_UP_S, application.asked_to_stop.put, (None,))
+    rescue = threading.Timer(RUN_TIMEOUT_S, application.stop_requests.put, (None,))
     rescue.daemon = True
     began_s = time.monotonic()
     context.sender.start()
@@ -79,9 +79,9 @@
 def signal_stacks(context: Context) -> None:
     async def signalled() -> None:
         serving = asyncio.create_task(context.entry.run())
-        await asyncio.sleep(SIGNAL_AFTER_S)
+        await asyncio.sleep(SIGNAL_DELAY_S)
         os.kill(os.getpid(), signal.SIGUSR1)
-        await asyncio.sleep(SIGNAL_AFTER_S)
+        await asyncio.sleep(SIGNAL_DELAY_S)
         context.serving = not serving.done()
         serving.cancel()
         await asyncio.gather(serving, return_exceptions=True)
--- a/features/steps/atmostonce_key_steps.py
+++ b/features/steps/atmostonce_key_steps.py
@@ -116,7 +116,7 @@
             world.book(f"{key} {row['fault']}", key=f"{key}-{row['fault']}").wait()
             check_error(world.last_reply(), "PLATFORM_DOWN", "not_run")
             assert int(world.last_reply().headers["retry-after"]) >= 1
-            took_ms = world.bookings[-1].call.took_ms()
+            duration_ms = world.bookings[-1].call.duration_ms()
             assert took_ms <= int(row[key]), (row["fault"], key, took_ms)
         order_claims_fault(context, "nothing")
         for key in ("first", "second"):
@@ -206,7 +206,7 @@
     for booking, reply in refused:
         check_error(reply, name, "not_run")
         assert reply.headers["retry-after"]
-        assert booking.call.took_ms() < MAX_REFUSAL_MS, booking.call.took_ms()
+        assert booking.call.duration_ms() < MAX_REFUSAL_MS, booking.call.duration_ms()
 
 
 @when("the second target is killed")
@@ -218,7 +218,7 @@
 def check_all_refused(context: Context, name: str) -> None:
     for booking in context.group:
         check_error(booking.wait(), name, "not_run")
-        assert booking.call.took_ms() < MAX_REFUSAL_MS, booking.call.took_ms()
+        assert booking.call.duration_ms() < MAX_REFUSAL_MS, booking.call.duration_ms()
 
 
 @then("each that was answered ran once and no other")
--- a/features/steps/bundles_rolls_steps.py
+++ b/features/steps/bundles_rolls_steps.py
@@ -20,7 +20,7 @@
 from harness.control import at_once
 from harness.control import call
 from harness.control import wait_for
-from harness.drain_world import generation
+from harness.drain_world import read_generation
 from harness.steady import Steady
 from mimosaspur_coordination import rolls
 from mimosaspur_state.codes import ResultCode
@@ -36,7 +36,7 @@
     context.samples = {name: [] for name in ENTRIES}
 
     def run(name: str) -> None:
-        context.samples[name].append(generation(context.site, name))
+        context.samples[name].append(read_generation(context.site, name))
 
     context.samplers = [Steady(partial(run, name), pause_s=SAMPLE_EVERY_S) for name in ENTRIES]
 
--- a/features/steps/bundles_steps.py
+++ b/features/steps/bundles_steps.py
@@ -19,9 +19,9 @@
 from harness.control import add_fault
 from harness.control import call
 from harness.control import wait_for
-from harness.drain_world import TOKENS
+from harness.drain_world import MAX_TOKENS
 from harness.drain_world import Traffic
-from harness.drain_world import generation
+from harness.drain_world import read_generation
 from harness.site import Site
 from harness.site import begin_site
 from mimosaspur_standins.answers import expected_answer
@@ -134,7 +134,7 @@
 @then("every process has the generation {wanted:d}")
 def check_everyone(context: Context, wanted: int) -> None:
     await_generation(context, PROCESSES, wanted)
-    assert all(generation(context.site, name) == wanted for name in PROCESSES)
+    assert all(read_generation(context.site, name) == wanted for name in PROCESSES)
 
 
 @then("every process has the new generation within {seconds:d} s of the roll")
@@ -155,7 +155,7 @@
 def check_entry(context: Context, entry: str, version: int, wanted: int) -> None:
     context.site.await_served(entry, "notes")
     assert _answering(context.site, entry) == version
-    assert generation(context.site, entry) == wanted
+    assert read_generation(context.site, entry) == wanted
 
 
 @then('both entries answer "notes" by version {version:d}')
@@ -195,9 +195,11 @@
 
 def _answering(site: Site, entry: str) -> int | None:
     address = site.daemons[entry].public
-    reply = chat_call(address, "notes", "which", max_tokens=TOKENS).wait()
+    reply = chat_call(address, "notes", "which", max_tokens=MAX_TOKENS).wait()
     for version in range(30):
-        if reply.whole() and reply.text() == expected_answer(f"notes@{version}", "which", TOKENS):
+        if reply.is_complete() and reply.text() == expected_answer(
+            f"notes@{version}", "which", MAX_TOKENS
+        ):
             return version
     return None
 
--- a/features/steps/callers_steps.py
+++ b/features/steps/callers_steps.py
@@ -10,21 +10,21 @@
 
 from harness.callers_world import CALLER_TIMEOUT_MS
 from harness.callers_world import CHAT
-from harness.callers_world import GOOD
-from harness.callers_world import GOOD_BODY
-from harness.callers_world import MAX_BODY
+from harness.callers_world import MAX_BODY_BYTES
 from harness.callers_world import MAX_IN_FLIGHT
+from harness.callers_world import VALID_BODY
+from harness.callers_world import VALID_REQUEST
 from harness.callers_world import WORKERS
 from harness.callers_world import FakeDispatcher
-from harness.callers_world import ask
-from harness.callers_world import ask_raw
 from harness.callers_world import chat_body
 from harness.callers_world import chunk
-from harness.callers_world import dial
+from harness.callers_world import connect
 from harness.callers_world import open_chat
 from harness.callers_world import parse_headers
-from harness.callers_world import read_answer
-from harness.callers_world import stop_quietly
+from harness.callers_world import read_response
+from harness.callers_world import release_and_stop
+from harness.callers_world import send_raw_request
+from harness.callers_world import send_request
 from harness.callers_world import wait_for
 from mimosaspur_state.clock import SystemClock
 from mimosaspur_state.codes import Outcome
@@ -41,19 +41,19 @@
         listen="127.0.0.1:0",
         workers=WORKERS,
         max_in_flight=MAX_IN_FLIGHT,
-        max_body_bytes=MAX_BODY,
+        max_body_bytes=MAX_BODY_BYTES,
         default_deadline_ms=2000,
         max_deadline_ms=5000,
         caller_timeout_ms=CALLER_TIMEOUT_MS,
     )
     dispatcher = FakeDispatcher()
-    dispatcher.free.set()
+    dispatcher.release.set()
     context.dispatcher = dispatcher
     before = set(threading.enumerate())
     context.callers = CallerServer(settings, dispatcher, SystemClock(), Metrics())
     context.callers.start()
     context.server_threads = set(threading.enumerate()) - before
-    context.add_cleanup(stop_quietly, context.callers, dispatcher)
+    context.add_cleanup(release_and_stop, context.callers, dispatcher)
 
 
 @given("the caller server's dispatcher answers {chunks:d} chunks")
@@ -89,12 +89,12 @@
 
 @given("the caller server's dispatcher waits for `gone`")
 def given_waits(context: Context) -> None:
-    context.dispatcher.waits_gone = True
+    context.dispatcher.waits_for_disconnect = True
 
 
 @given("the caller server's dispatcher holds its answers")
 def given_holds(context: Context) -> None:
-    context.dispatcher.free.clear()
+    context.dispatcher.release.clear()
 
 
 @given("the caller server's dispatcher is not ready")
@@ -111,14 +111,14 @@
 
 @given("callers open {count:d} connections and stay silent")
 def given_silent(context: Context, count: int) -> None:
-    context.silent = [dial(context) for _ in range(count)]
+    context.silent = [connect(context) for _ in range(count)]
 
 
 @given("callers stop within a body on as many connections as may be in flight")
 def given_half_bodies(context: Context) -> None:
     for _ in range(MAX_IN_FLIGHT):
         head = f"POST {CHAT} HTTP/1.1\r\nHost: e\r\nContent-Length: 100\r\n\r\nhalf"
-        dial(context).sendall(head.encode())
+        connect(context).sendall(head.encode())
     wait_for(lambda: context.callers.in_flight == MAX_IN_FLIGHT)
 
 
@@ -134,27 +134,27 @@
     special = {
         "(nothing)": b"",
         "(invalid UTF-8)": b'{"model": "\xff\xfe"}',
-        "(lone surrogate)": GOOD_BODY.replace(b'"x"', b'"\\udc00"'),
+        "(lone surrogate)": VALID_BODY.replace(b'"x"', b'"\\udc00"'),
         "(100000 open brackets)": b"[" * 100_000,
-        "(over the limit)": b" " * (MAX_BODY + 1),
+        "(over the limit)": b" " * (MAX_BODY_BYTES + 1),
     }
     if body in special or not body.startswith("("):
-        ask(context, "POST", CHAT, special.get(body, body.encode()))
+        send_request(context, "POST", CHAT, special.get(body, body.encode()))
         return
     post = f"POST {CHAT} HTTP/1.1\r\nHost: e\r\n"
     chunked = post + "Transfer-Encoding: chunked"
-    size = 2 * MAX_BODY
+    size = 2 * MAX_BODY_BYTES
     match body:
         case "(over the limit, chunked)":
-            ask_raw(context, chunked, f"{size:x}\r\n".encode() + b" " * size)
+            send_raw_request(context, chunked, f"{size:x}\r\n".encode() + b" " * size)
         case "(bad chunk size)":
-            ask_raw(context, chunked, b"zz\r\n")
+            send_raw_request(context, chunked, b"zz\r\n")
         case "(shorter than its length)":
-            ask_raw(context, post + "Content-Length: 1000", GOOD_BODY, finish=True)
+            send_raw_request(context, post + "Content-Length: 1000", VALID_BODY, finish=True)
         case "(length and chunked)":
-            ask_raw(context, chunked + "\r\nContent-Length: 5", b"0\r\n\r\n")
+            send_raw_request(context, chunked + "\r\nContent-Length: 5", b"0\r\n\r\n")
         case "(negative length)":
-            ask_raw(context, post + "Content-Length: -5", b"")
+            send_raw_request(context, post + "Content-Length: -5", b"")
         case _:
             raise AssertionError(f"no such body: {body}")
 
@@ -163,59 +163,61 @@
 def when_header(context: Context, header: str) -> None:
     text = header.replace("(256 letters)", "k" * 256)
     name, _, value = text.partition(":")
-    ask(context, "POST", CHAT, GOOD_BODY, {name: value.strip()})
+    send_request(context, "POST", CHAT, VALID_BODY, {name: value.strip()})
 
 
 @when("a caller sends {method} {path} with headers {headers}")
 def when_headers(context: Context, method: str, path: str, headers: str) -> None:
-    body = GOOD_BODY if path == CHAT else b""
-    ask(context, method, path, body, parse_headers(headers))
+    body = VALID_BODY if path == CHAT else b""
+    send_request(context, method, path, body, parse_headers(headers))
     assert context.response.status == 200, context.body
 
 
 @when("a caller asks {method:w} {path:S}")
 def when_asks(context: Context, method: str, path: str) -> None:
-    ask(context, method, path)
+    send_request(context, method, path)
 
 
 @when("a caller asks with content {content}")
 def when_content(context: Context, content: str) -> None:
     value = "a" * 100 if content == "(100 letters)" else json.loads(content)
-    body = {**GOOD, "messages": [{"role": "user", "content": value}]}
-    ask(context, "POST", CHAT, json.dumps(body).encode())
+    body = {**VALID_REQUEST, "messages": [{"role": "user", "content": value}]}
+    send_request(context, "POST", CHAT, json.dumps(body).encode())
 
 
 @when("a caller asks for a {way:w} answer")
 def when_way(context: Context, way: str) -> None:
-    ask(context, "POST", CHAT, chat_body(stream=way == "streamed"))
+    send_request(context, "POST", CHAT, chat_body(stream=way == "streamed"))
 
 
 @when("a caller leaves in the middle of a {way:w} answer")
 def when_leaves(context: Context, way: str) -> None:
     sock = open_chat(context, stream=way == "streamed")
-    wait_for(lambda: context.dispatcher.begun == 1)
+    wait_for(lambda: context.dispatcher.started_count == 1)
     sock.close()
 
 
 @when("a caller sends a chunked request and a second one on the same connection")
 def when_chunked_twice(context: Context) -> None:
     head = f"POST {CHAT} HTTP/1.1\r\nHost: e\r\nTransfer-Encoding: chunked\r\n\r\n".encode()
-    request = head + f"{len(GOOD_BODY):x}\r\n".encode() + GOOD_BODY + b"\r\n0\r\nTrailer: x\r\n\r\n"
-    context.sock = dial(context)
+    request = (
+        head + f"{len(VALID_BODY):x}\r\n".encode() + VALID_BODY + b"\r\n0\r\nTrailer: x\r\n\r\n"
+    )
+    context.sock = connect(context)
     context.answers = []
     for _ in range(2):
         context.sock.sendall(request)
-        read_answer(context)
+        read_response(context)
 
 
 @when("a caller sends two requests at once")
 def when_pipelined(context: Context) -> None:
-    head = f"POST {CHAT} HTTP/1.1\r\nHost: e\r\nContent-Length: {len(GOOD_BODY)}\r\n\r\n".encode()
-    context.sock = dial(context)
-    context.sock.sendall((head + GOOD_BODY) * 2)
+    head = f"POST {CHAT} HTTP/1.1\r\nHost: e\r\nContent-Length: {len(VALID_BODY)}\r\n\r\n".encode()
+    context.sock = connect(context)
+    context.sock.sendall((head + VALID_BODY) * 2)
     context.answers = []
     for _ in range(2):
-        read_answer(context)
+        read_response(context)
 
 
 @when("the caller server is told to stop with {grace:d} ms of grace")
--- a/features/steps/callers_then_steps.py
+++ b/features/steps/callers_then_steps.py
@@ -7,21 +7,21 @@
 from behave import then
 from behave.runner import Context
 
-from harness.callers_world import BOUND_S
 from harness.callers_world import CALLER_TIMEOUT_MS
-from harness.callers_world import LAST
+from harness.callers_world import FINAL_EVENT
 from harness.callers_world import NONE
-from harness.callers_world import ask
-from harness.callers_world import dial
-from harness.callers_world import error_of
-from harness.callers_world import expected
+from harness.callers_world import TIMEOUT_S
+from harness.callers_world import connect
+from harness.callers_world import expected_chunks
+from harness.callers_world import response_error
+from harness.callers_world import send_request
 from harness.callers_world import wait_for
 from mimosaspur_state.codes import ResultCode
 
 
 @then("the caller server answers {status:d} with error {name:w} and outcome {outcome:w}")
 def then_error(context: Context, status: int, name: str, outcome: str) -> None:
-    error = error_of(context)
+    error = response_error(context)
     assert context.response.status == status, (context.response.status, error)
     assert error["name"] == name, error
     assert error["code"] == ResultCode[name], error
@@ -32,7 +32,7 @@
 
 @then("the caller server handed nothing to the dispatcher")
 def then_nothing(context: Context) -> None:
-    assert context.dispatcher.seen == [], context.dispatcher.seen
+    assert context.dispatcher.dispatched == [], context.dispatcher.dispatched
 
 
 @then(
@@ -40,7 +40,7 @@
     "priority {priority:d} and deadline {deadline:d}"
 )
 def then_handed(context: Context, idempotent: str, key: str, priority: int, deadline: int) -> None:
-    work, deadline_ms = context.dispatcher.seen[0]
+    work, deadline_ms = context.dispatcher.dispatched[0]
     assert work.idempotent is (idempotent == "true"), work
     assert work.idempotency_key == ("" if key == NONE else key), work
     assert work.priority == priority, work
@@ -51,19 +51,19 @@
 @then("the caller server handed over prefix {prefix}")
 def then_prefix(context: Context, prefix: str) -> None:
     special = {NONE: "", "(64 letters)": "a" * 64}
-    work, _ = context.dispatcher.seen[0]
+    work, _ = context.dispatcher.dispatched[0]
     assert work.prefix == special.get(prefix, prefix), work
 
 
 @then("the caller server handed over service {name} with path {path}")
 def then_service(context: Context, name: str, path: str) -> None:
-    work, _ = context.dispatcher.seen[0]
+    work, _ = context.dispatcher.dispatched[0]
     assert (work.name, work.path) == (name, path), work
 
 
 @then("the caller gets all {chunks:d} chunks by {framing}")
 def then_all(context: Context, chunks: int, framing: str) -> None:
-    whole = expected(chunks) + LAST
+    whole = expected_chunks(chunks) + FINAL_EVENT
     assert context.response.status == 200
     assert context.complete and context.body == whole, context.body
     length = context.response.headers["Content-Length"]
@@ -72,7 +72,7 @@
 
 @then("the caller gets two whole answers")
 def then_two(context: Context) -> None:
-    whole = expected(context.dispatcher.chunks) + LAST
+    whole = expected_chunks(context.dispatcher.chunks) + FINAL_EVENT
     assert context.answers == [("http/1.1 200 ok", whole)] * 2, context.answers
 
 
@@ -83,7 +83,7 @@
 
 @then("the caller gets {chunks:d} chunks, then error {name:w}, and no end of the stream")
 def then_cut(context: Context, chunks: int, name: str) -> None:
-    start = expected(chunks)
+    start = expected_chunks(chunks)
     assert context.body.startswith(start), context.body
     event = context.body.removeprefix(start)
     assert event.startswith(b"data: ") and event.endswith(b"\n\n"), event
@@ -97,7 +97,7 @@
 def then_retry(context: Context, header: str, body: str) -> None:
     seen = context.response.headers.get("Retry-After", NONE)
     assert seen == header, seen
-    seen_ms = str(error_of(context).get("retry_after_ms", NONE))
+    seen_ms = str(response_error(context).get("retry_after_ms", NONE))
     assert seen_ms == body, seen_ms
 
 
@@ -110,7 +110,7 @@
 
 @then("the caller server closed the answer's chunks")
 def then_closed(context: Context) -> None:
-    wait_for(lambda: context.dispatcher.closed == 1)
+    wait_for(lambda: context.dispatcher.closed_count == 1)
 
 
 @then("the caller server has nothing in flight")
@@ -122,7 +122,7 @@
 def then_state(context: Context, status: int, path: str) -> None:
     began = time.monotonic()
     kept = (context.response, context.body) if "response" in context else None
-    ask(context, "GET", path)
+    send_request(context, "GET", path)
     assert context.response.status == status, context.response.status
     assert time.monotonic() - began < CALLER_TIMEOUT_MS / 1000
     if kept:
@@ -139,7 +139,7 @@
 def then_refuses(context: Context) -> None:
     def refused() -> bool:
         try:
-            dial(context)
+            connect(context)
         except ConnectionRefusedError:
             return True
         return False
@@ -150,9 +150,9 @@
 @then("the caller that had begun gets its whole stream once it is let go")
 def then_let_go(context: Context) -> None:
     assert context.stopper.is_alive(), "the stop did not wait for the stream"
-    context.dispatcher.free.set()
+    context.dispatcher.release.set()
     rest = context.stream.read()
-    assert rest == b"\n" + LAST, rest
+    assert rest == b"\n" + FINAL_EVENT, rest
 
 
 @then("the caller that had begun sees no end of the stream")
@@ -160,13 +160,13 @@
     try:
         rest = context.stream.read()
     except http.client.IncompleteRead as error:
-        assert LAST not in error.partial, error.partial
+        assert FINAL_EVENT not in error.partial, error.partial
     else:
         raise AssertionError(f"the stream ended as if whole: {rest!r}")
 
 
 @then("the caller server's threads end")
 def then_threads_end(context: Context) -> None:
-    context.stopper.join(BOUND_S)
+    context.stopper.join(TIMEOUT_S)
     assert not context.stopper.is_alive(), "the stop did not end"
     wait_for(lambda: not any(thread.is_alive() for thread in context.server_threads))
--- a/features/steps/direct_bounds_steps.py
+++ b/features/steps/direct_bounds_steps.py
@@ -18,8 +18,8 @@
 from mimosaspur_coordination.limits.retrywindow import RetryWindow
 from mimosaspur_coordination.targetchoice import preferred_targets
 from mimosaspur_coordination.targethealth import TargetHealth
-from mimosaspur_protocol.eventcut import EventCutter
-from mimosaspur_protocol.eventcut import EventMissing
+from mimosaspur_protocol.eventbuffer import EventBuffer
+from mimosaspur_protocol.eventbuffer import EventMissing
 from mimosaspur_state.directsettings import RetryBounds
 from mimosaspur_state.eventlog import EventLog
 from mimosaspur_state.fleet import TargetRecord
@@ -99,15 +99,15 @@
     )
     def check(count: int, broken_after: int, cuts: list[int]) -> None:
         events = [b"id: %d\ndata: e%d\n\n" % (n, n) for n in range(1, count + 1)]
-        cutter = EventCutter(None)
+        cutter = EventBuffer(None)
         # The first run breaks off inside an event; the next one goes on after the last whole one.
         first = b"".join(events)[: broken_after * 9]
         relayed = b"".join(cutter.feed(piece) for piece in _pieces(first, cuts))
-        cutter.restart()
+        cutter.discard_incomplete()
         rest = b"".join(events[(cutter.last_id or 0) :])
         relayed += b"".join(cutter.feed(piece) for piece in _pieces(rest, cuts))
         assert relayed == b"".join(events)
-        assert cutter.begun == b""
+        assert cutter.incomplete == b""
 
     check()
 
@@ -140,9 +140,9 @@
 def check_log(context: Context, seconds: int) -> None:
     assert context.took_s < seconds, context.took_s
     assert context.log.counters.counts["attempt", "failed"] == FLOOD_EVENTS
-    assert sum(map(len, context.log.waiting)) < 1_000_000
-    assert f'result="failed"}} {FLOOD_EVENTS}' in context.log.counters.text()
-    assert json.loads(json.dumps(context.log.left_out)) == {"attempt": FLOOD_EVENTS - 40}
+    assert sum(map(len, context.log.pending)) < 1_000_000
+    assert f'result="failed"}} {FLOOD_EVENTS}' in context.log.counters.render()
+    assert json.loads(json.dumps(context.log.suppressed)) == {"attempt": FLOOD_EVENTS - 40}
 
 
 def _events(first: int, last: int) -> bytes:
@@ -151,13 +151,13 @@
 
 @given("the events 1 to {had:d} of a stream were relayed")
 def relay_first(context: Context, had: int) -> None:
-    context.cutter = EventCutter(None)
+    context.cutter = EventBuffer(None)
     context.relayed = context.cutter.feed(_events(1, had))
 
 
 @when("the next target sends the events {first:d} to 9")
 def relay_next(context: Context, first: int) -> None:
-    context.cutter.restart()
+    context.cutter.discard_incomplete()
     context.gap = False
     try:
         context.relayed += context.cutter.feed(_events(first, 9))
--- a/features/steps/direct_configuration_steps.py
+++ b/features/steps/direct_configuration_steps.py
@@ -30,9 +30,9 @@
 from mimosaspur_coordination.workspaces.credentials import find_workspace
 from mimosaspur_daemon.direct.configurationexchange import ConfigurationExchange
 from mimosaspur_daemon.direct.entrystate import EntryState
-from mimosaspur_protocol.configurations import decode_configuration
-from mimosaspur_protocol.configurations import encode_configuration
-from mimosaspur_protocol.peermessages import ConfigurationTold
+from mimosaspur_protocol.configurationcodec import decode_configuration
+from mimosaspur_protocol.configurationcodec import encode_configuration
+from mimosaspur_protocol.peermessages import EncodedConfiguration
 from mimosaspur_protocol.peermessages import PeerMessage
 from mimosaspur_protocol.peermessages import decode_peer
 from mimosaspur_protocol.peermessages import encode_peer
@@ -185,15 +185,15 @@
         self.sent.append(message)
 
 
-def _spoil(told: ConfigurationTold, broken: str) -> ConfigurationTold:
+def _spoil(told: EncodedConfiguration, broken: str) -> EncodedConfiguration:
     if broken == "with another digest":
-        return ConfigurationTold(told.version, b"\0" * 32, told.body)
+        return EncodedConfiguration(told.version, b"\0" * 32, told.body)
     if broken == "of another version":
-        return ConfigurationTold(told.version + 100, told.digest, told.body)
+        return EncodedConfiguration(told.version + 100, told.digest, told.body)
     body = zlib.compress(b"\x93\x01\x02\x03")
     if broken == "cut off":
         body = told.body[: len(told.body) // 2]
-    return ConfigurationTold(told.version, hashlib.sha256(body).digest(), body)
+    return EncodedConfiguration(told.version, hashlib.sha256(body).digest(), body)
 
 
 @then("an entry that hears any messages, some of them {broken}, holds the newest whole one")
@@ -251,7 +251,7 @@
         services = sent.services | {"models": ServiceSpec("models", "/h", 9, engine)}
         sent = replace(sent, workspaces=workspaces, services=services)
         message = decode_peer(encode_peer(encode_configuration(sent))[4:])
-        assert isinstance(message, ConfigurationTold)
+        assert isinstance(message, EncodedConfiguration)
         got: Configuration = decode_configuration(message)
         assert got == sent
 
--- a/features/steps/direct_leadership_steps.py
+++ b/features/steps/direct_leadership_steps.py
@@ -23,8 +23,8 @@
 from mimosaspur_daemon.direct.election import CoordinatorElection
 from mimosaspur_daemon.direct.entrystate import EntryState
 from mimosaspur_daemon.direct.members import Member
+from mimosaspur_protocol.peermessages import LeaseReadRequest
 from mimosaspur_protocol.peermessages import PeerMessage
-from mimosaspur_protocol.peermessages import ProofRequest
 from mimosaspur_state.directsettings import DirectSettings
 from mimosaspur_state.errors import StoreUnavailable
 
@@ -136,7 +136,7 @@
 
     def send(self, message: PeerMessage) -> None:
         """Count a request for a proof."""
-        self.asked += isinstance(message, ProofRequest)
+        self.asked += isinstance(message, LeaseReadRequest)
 
 
 @when("the lease has to be proved {times:d} times")
--- a/features/steps/direct_lifetimes_steps.py
+++ b/features/steps/direct_lifetimes_steps.py
@@ -74,7 +74,7 @@
 @then("the entry knows the three servers and no other, and says once what it couldn't read")
 def check_known(context: Context) -> None:
     assert set(context.state.fleet.targets) == KNOWN, set(context.state.fleet.targets)
-    counted = context.entry.log.counters.text()
+    counted = context.entry.log.counters.render()
     unreadable = re.findall(r"^\S*_unreadable\S* (\d+)$", counted, re.MULTILINE)
     assert unreadable == ["1"], counted
 
--- a/features/steps/direct_retries_steps.py
+++ b/features/steps/direct_retries_steps.py
@@ -32,9 +32,9 @@
         super().__init__(instance, clock=clock, fd=fd)
         self.lines: list[str] = []
 
-    def _line(self, kind: str, fields: dict[str, object]) -> None:
+    def _append_line(self, kind: str, fields: dict[str, object]) -> None:
         self.lines.append(kind)
-        super()._line(kind, fields)
+        super()._append_line(kind, fields)
 
 
 @given("an entry in virtual time, beside a store whose {calls} {behave}")
--- a/features/steps/direct_store_steps.py
+++ b/features/steps/direct_store_steps.py
@@ -61,8 +61,8 @@
     assert set(views) == {"i-0", "i-1", "i-2"}
     assert views["i-2"].residents == {"notes": frozenset({"a1"})}
     assert context.state.configuration.version == 4
-    assert context.state.configuration.find("site.example", "/p/x").name == "r"
-    assert context.state.configuration.find("site.example", "/other/") is None
+    assert context.state.configuration.find_route("site.example", "/p/x").name == "r"
+    assert context.state.configuration.find_route("site.example", "/other/") is None
 
 
 @when("the store is {away} for {ms:d} ms")
--- a/features/steps/direct_work_steps.py
+++ b/features/steps/direct_work_steps.py
@@ -22,9 +22,9 @@
 from mimosaspur_coordination.prefillspeed import INITIAL_BASE_MS as FIRST_TOKEN_MS
 from mimosaspur_daemon.direct.fleetreport import total_work
 from mimosaspur_daemon.direct.reportedwork import ReportedWork
-from mimosaspur_protocol.peermessages import WorkAt
+from mimosaspur_protocol.peermessages import TargetWork
+from mimosaspur_state.fleet import OutstandingWork
 from mimosaspur_state.fleet import TargetRecord
-from mimosaspur_state.fleet import Work
 
 TARGETS = ("x", "plain")
 RANK = 3
@@ -34,11 +34,11 @@
 LONG_TOKENS = 4_000
 
 
-def _work(text: str) -> dict[str, WorkAt]:
+def _work(text: str) -> dict[str, TargetWork]:
     found = {}
     for target, requests, unread in re.findall(r"(\w+): (\d+)(?: with (\d+) unread)?", text):
         by_rank = {RANK: int(unread)} if unread and int(unread) else {}
-        found[target] = WorkAt(target, int(requests), by_rank, 0, {})
+        found[target] = TargetWork(target, int(requests), by_rank, 0, {})
     return found
 
 
@@ -64,12 +64,12 @@
     context.told = reported.apply_totals(total_work(context.reports, TARGETS).values())
 
 
-def _without_empty_ranks(works: dict[str, Work]) -> dict[str, WorkAt]:
+def _without_empty_ranks(works: dict[str, OutstandingWork]) -> dict[str, TargetWork]:
     """Return others' work without ranks at which nothing waits."""
     found = {}
     for target, work in works.items():
-        unread = {rank: int(tokens) for rank, tokens in work.unread.items() if tokens}
-        found[target] = WorkAt(target, work.requests, unread, work.held_tokens, {})
+        unread = {rank: int(tokens) for rank, tokens in work.prefill_tokens.items() if tokens}
+        found[target] = TargetWork(target, work.requests, unread, work.held_tokens, {})
     return found
 
 
@@ -248,7 +248,7 @@
 def _queue_tokens(context: Context, queued: int, percent: int) -> tuple[TargetView, Prompt, float]:
     """Queue counted tokens at a target; return what a request there takes."""
     view = context.fleet.targets["x"]
-    view.others_work.unread[RANK] = float(queued)
+    view.others_work.prefill_tokens[RANK] = float(queued)
     tokens = MEASURED_TOKENS / context.speeds["fast"]
     per_token_ms = 1 / context.speeds["slow"]
     waits_ms = queued * percent / 100 * per_token_ms
--- a/features/steps/direct_workspaces_steps.py
+++ b/features/steps/direct_workspaces_steps.py
@@ -31,7 +31,7 @@
 from mimosaspur_coordination.workspaces.ranks import rank_table
 from mimosaspur_daemon.direct.entryreport import build_entry_report
 from mimosaspur_daemon.direct.taskstacks import task_stacks
-from mimosaspur_protocol.configurations import encode_configuration
+from mimosaspur_protocol.configurationcodec import encode_configuration
 from mimosaspur_protocol.peermessages import encode_peer
 from mimosaspur_state.eventlog import EventLog
 
@@ -220,7 +220,7 @@
     told = encode_peer(build_entry_report(state)) + encode_peer(
         encode_configuration(state.configuration)
     )
-    shown = repr(state.configuration) + log.counters.text() + json.dumps(logged.decode())
+    shown = repr(state.configuration) + log.counters.render() + json.dumps(logged.decode())
     for keys in (*KEYS.values(), (UNKNOWN_KEY,)):
         for key in keys:
             assert key not in shown, key
--- a/features/steps/drain_steps.py
+++ b/features/steps/drain_steps.py
@@ -18,11 +18,11 @@
 from harness.control import clear_faults
 from harness.control import wait_for
 from harness.drain_world import Traffic
-from harness.drain_world import ask
-from harness.drain_world import await_off
-from harness.drain_world import carriers
-from harness.drain_world import holders
-from harness.drain_world import runs
+from harness.drain_world import get_json
+from harness.drain_world import run_count
+from harness.drain_world import service_targets
+from harness.drain_world import targets_holding
+from harness.drain_world import wait_until_drained
 from harness.operators import COMMAND
 from harness.site import REGION
 from harness.site import begin_site
@@ -54,7 +54,7 @@
     site.roll("first", [model("notes", replicas=2), model("dispatch")])
     for name in ENTRIES:
         site.await_served(name, "notes", "dispatch")
-    wait_for(lambda: len(holders(site, "notes", "ready")) == 2, "two replicas of notes")
+    wait_for(lambda: len(targets_holding(site, "notes", "ready")) == 2, "two replicas of notes")
 
 
 @given('a drain site with the service "{service}" on {targets}')
@@ -68,7 +68,7 @@
     address = site.daemons["entry-0"].public
     wait_for(lambda: service_call(address, service, "x").wait().status == 200, "the service")
     expected = sum(1 for name in site.daemons if name.startswith("carrier"))
-    wait_for(lambda: len(carriers(site, service)) == expected, "all carriers registered")
+    wait_for(lambda: len(service_targets(site, service)) == expected, "all carriers registered")
     if "died" in targets:
         site.kill("carrier-1")
 
@@ -112,7 +112,7 @@
     context.stream = chat_call(address, name, "long", max_tokens=STREAM_TOKENS, stream=True)
     wait_for(lambda: b"data" in context.stream.reply.body, "the stream begins")
     request_id = context.stream.reply.headers["x-request-id"]
-    logs = {target: site.engine_log(target)["runs"] for target in holders(site, name)}
+    logs = {target: site.engine_log(target)["runs"] for target in targets_holding(site, name)}
     context.stream_target = next(
         target for target, seen in logs.items() if any(key.startswith(request_id) for key in seen)
     )
@@ -121,7 +121,7 @@
 @when('an operator orders a target of "{name}" to leave by the {means}, {fault}')
 def order_holder(context: Context, name: str, means: str, fault: str) -> None:
     site = context.site
-    held = sorted(holders(site, name, "ready"))
+    held = sorted(targets_holding(site, name, "ready"))
     stream = getattr(context, "stream_target", "")
     target = stream if stream in held else held[0]
     if fault == "orders to engines get lost":
@@ -149,7 +149,7 @@
 
 @when('both targets of "{name}" are ordered to leave at the same moment')
 def order_both(context: Context, name: str) -> None:
-    context.leaving = sorted(holders(context.site, name, "ready"))
+    context.leaving = sorted(targets_holding(context.site, name, "ready"))
     assert len(context.leaving) == 2, context.leaving
     at_once(*(partial(_order, context, target) for target in context.leaving))
 
@@ -157,7 +157,7 @@
 @when('"{name}" registers for "{service}"')
 def register_carrier(context: Context, name: str, service: str) -> None:
     context.site.service_target(name, service)
-    wait_for(lambda: name in carriers(context.site, service), f"{name} registers")
+    wait_for(lambda: name in service_targets(context.site, service), f"{name} registers")
     context.ordered_at = time.monotonic()
 
 
@@ -167,18 +167,18 @@
     end = context.ordered_at + seconds
     # The measure is the order's age, so this is the time that may pass, not a wait for a race.
     wait_for(lambda: time.monotonic() >= end, "the order's age", bound_s=seconds + 1)
-    before = runs(site, target)
+    before = run_count(site, target)
     sent = [traffic.sent for traffic in context.traffic]
     for traffic, had in zip(context.traffic, sent, strict=True):
         wait_for(lambda t=traffic, h=had: t.sent > h + MORE_REQUESTS, "more requests")  # type: ignore[misc]
-    after = runs(site, target)
+    after = run_count(site, target)
     assert after == before, f"{after - before} requests ran on {target} after {seconds} s"
 
 
 @then("the target has left the drain site")
 def check_left(context: Context) -> None:
     site, target = context.site, context.drained
-    await_off(site, target)
+    wait_until_drained(site, target)
     status = site.store().get(keys.status(REGION, target))
     assert status and status.value["draining"], status
 
@@ -196,9 +196,9 @@
     third = next(target for target in TARGETS if target not in context.leaving)
 
     def let_go() -> bool:
-        held = holders(site, name)
+        held = targets_holding(site, name)
         if not set(context.leaving) <= held:
-            assert third in holders(site, name, "ready"), site.replicas(name)
+            assert third in targets_holding(site, name, "ready"), site.replicas(name)
         return not set(context.leaving) & held
 
     wait_for(let_go, "both let go")
@@ -207,11 +207,11 @@
 @then('the target still serves "{name}" and gets new work')
 def check_stays(context: Context, name: str) -> None:
     site, target = context.site, context.drained
-    assert holders(site, name) == {target}, site.replicas(name)
+    assert targets_holding(site, name) == {target}, site.replicas(name)
     for engine in site.engines.values():
         clear_faults(engine.address)
-    before = runs(site, target)
-    wait_for(lambda: runs(site, target) > before, "new work at the target")
+    before = run_count(site, target)
+    wait_for(lambda: run_count(site, target) > before, "new work at the target")
 
 
 @then("no request of the drain failed")
@@ -225,7 +225,7 @@
 @then("the stream in flight ended whole")
 def check_stream(context: Context) -> None:
     reply = context.stream.wait()
-    assert reply.whole(), (reply.status, reply.broken, reply.body[-200:])
+    assert reply.is_complete(), (reply.status, reply.broken, reply.body[-200:])
     wanted = expected_answer(f"{context.stream_name}@1", "long", STREAM_TOKENS)
     assert reply.text() == wanted
 
@@ -234,16 +234,16 @@
 def check_ready(context: Context, name: str, state: str) -> None:
     wanted = 200 if state == "ready" else 503
     address = context.site.daemons[name].public
-    wait_for(lambda: ask(address, "/readyz")[0] == wanted, f"{name} is {state}", bound_s=3)
+    wait_for(lambda: get_json(address, "/readyz")[0] == wanted, f"{name} is {state}", bound_s=3)
 
 
 @then('"{name}" still serves "{service}" {seconds:d} s later')
 def check_still(context: Context, name: str, service: str, seconds: int) -> None:
     end = context.ordered_at + seconds
     wait_for(lambda: time.monotonic() >= end, "the order's age", bound_s=seconds + 1)
-    assert name in carriers(context.site, service), "it took itself off"
-    before = runs(context.site, name)
-    wait_for(lambda: runs(context.site, name) > before, f"new work at {name}", bound_s=3)
+    assert name in service_targets(context.site, service), "it took itself off"
+    before = run_count(context.site, name)
+    wait_for(lambda: run_count(context.site, name) > before, f"new work at {name}", bound_s=3)
 
 
 def _order(context: Context, target: str, *, by_command: bool = False) -> None:
--- a/features/steps/drain_stops_steps.py
+++ b/features/steps/drain_stops_steps.py
@@ -8,7 +8,7 @@
 from behave.runner import Context
 
 from harness.control import wait_for
-from harness.drain_world import ask
+from harness.drain_world import get_json
 
 NEARLY_ALL = 290
 EXIT_S = 15.0
@@ -60,7 +60,7 @@
 
     def refused() -> bool:
         try:
-            ask(address, "/readyz")
+            get_json(address, "/readyz")
         except ConnectionRefusedError:
             return True
         except ConnectionResetError:
@@ -69,7 +69,7 @@
         return False
 
     wait_for(refused, "new connections refused")
-    assert not context.stream.reply.whole(), "the stream ended before the check"
+    assert not context.stream.reply.is_complete(), "the stream ended before the check"
     assert _kept_status(context) == 503
 
 
--- a/features/steps/frames_steps.py
+++ b/features/steps/frames_steps.py
@@ -12,11 +12,11 @@
 from hypothesis import strategies as st
 
 from harness.frames_world import ANSWER
+from harness.frames_world import ATTEMPT_KEY
 from harness.frames_world import HEARTBEAT_MS
-from harness.frames_world import KEY
 from harness.frames_world import SILENT_MS
 from harness.frames_world import FakeServing
-from harness.frames_world import HandClock
+from harness.frames_world import ManualClock
 from harness.frames_world import ScriptedTarget
 from mimosaspur_coordination.generation import BundleHolder
 from mimosaspur_coordination.hints import TargetHint
@@ -36,7 +36,7 @@
 from mimosaspur_state.clock import SystemClock
 from mimosaspur_state.codes import Outcome
 from mimosaspur_state.codes import ResultCode
-from mimosaspur_state.requests import Kind
+from mimosaspur_state.requests import RequestKind
 from mimosaspur_state.requests import Work
 from mimosaspur_state.settings import PeerSettings
 from mimosaspur_state.settings import settings_from_text
@@ -45,11 +45,11 @@
 from mimosaspur_transport.targetlink import TargetLink
 from mimosaspur_transport.wire import Wire
 
-WORK = Work("r1", Kind.CHAT, "m", "POST", "/", "", b"{}", False, 5, False, "", "")
+WORK = Work("r1", RequestKind.CHAT, "m", "POST", "/", "", b"{}", False, 5, False, "", "")
 SUBMIT = Submit(1, 0, 60_000, "m@1", WORK)
-KEEP_MS = 1000
-BOUND_S = 5.0
-SERVER_TEXT = """{
+RETENTION_MS = 1000
+TIMEOUT_S = 5.0
+SERVER_SETTINGS = """{
   "role": "target",
   "instance": {"name": "t", "region": "r", "failure_domain": "d"},
   "platform": {"object_api": "127.0.0.1:1", "instance_list": "127.0.0.1:1"},
@@ -57,14 +57,14 @@
 }"""
 
 PIECES = st.tuples(st.integers(0, len(ANSWER)), st.integers(0, len(ANSWER))).map(
-    lambda span: Chunk(*KEY, min(span), ANSWER[min(span) : max(span)])
+    lambda span: Chunk(*ATTEMPT_KEY, min(span), ANSWER[min(span) : max(span)])
 )
 FRAMES: st.SearchStrategy[Event] = st.one_of(
     PIECES,
     PIECES,
-    st.just(Started(*KEY, 200, "text/plain", False)),
-    st.just(End(*KEY, len(ANSWER))),
-    st.just(Failed(*KEY, ResultCode.ENGINE_ERROR, "", Outcome.UNKNOWN)),
+    st.just(Started(*ATTEMPT_KEY, 200, "text/plain", False)),
+    st.just(End(*ATTEMPT_KEY, len(ANSWER))),
+    st.just(Failed(*ATTEMPT_KEY, ResultCode.ENGINE_ERROR, "", Outcome.UNKNOWN)),
 )
 
 
@@ -76,16 +76,16 @@
         attempt = Attempt(SUBMIT, "i")
         for frame in frames:
             attempt.on_event(frame)
-        passed = drained(attempt)
+        passed = drain_events(attempt)
         data = b"".join(event.data for event in passed if isinstance(event, Chunk))
         ends = [event for event in passed if isinstance(event, End | Failed)]
-        assert (data, [type(end) for end in ends]) == reassembled(frames), passed
+        assert (data, [type(end) for end in ends]) == reassemble(frames), passed
         assert not ends or passed[-1:] == ends, "nothing may follow the end"
 
     check()
 
 
-def drained(attempt: Attempt) -> list[Event]:
+def drain_events(attempt: Attempt) -> list[Event]:
     """Return what an attempt has passed on."""
     events: list[Event] = []
     while not attempt.events.empty():
@@ -93,7 +93,7 @@
     return events
 
 
-def reassembled(frames: list[Event]) -> tuple[bytes, list[type]]:
+def reassemble(frames: list[Event]) -> tuple[bytes, list[type]]:
     """Put the bytes together one by one."""
     data: list[int] = []
     for frame in frames:
@@ -110,11 +110,11 @@
 
 @given("a target's server for an entry's connections 1 and 2")
 def start_server(context: Context) -> None:
-    parsed = settings_from_text(SERVER_TEXT, file="test")
+    parsed = settings_from_text(SERVER_SETTINGS, file="test")
     assert parsed.target
-    context.clock = HandClock()
+    context.clock = ManualClock()
     context.serving = FakeServing()
-    context.registry = AttemptRegistry(context.clock, keep_ms=KEEP_MS)
+    context.registry = AttemptRegistry(context.clock, retention_ms=RETENTION_MS)
     context.server = TargetServer(
         parsed,
         parsed.target,
@@ -145,7 +145,7 @@
 
 
 @when("on the server, {steps}")
-def play(context: Context, steps: str) -> None:
+def run_server_steps(context: Context, steps: str) -> None:
     open_connection(context, 1)
     for step in steps.split(", "):
         match step.split():
@@ -156,18 +156,18 @@
                     open_connection(context, int(number))
                 handle(context, int(number), Resume("i", 0, SUBMIT))
             case ["answered"]:
-                answer_all(context.serving)
+                finish_all(context.serving)
             case ["forgotten"]:
-                context.clock.added_ms += KEEP_MS + 1
+                context.clock.added_ms += RETENTION_MS + 1
                 context.registry.sweep()
 
 
-def answer_all(serving: FakeServing) -> None:
+def finish_all(serving: FakeServing) -> None:
     """Make the answers of all that began."""
-    for attempt in serving.begun:
+    for attempt in serving.started:
         attempt.start(200, "text/plain")
-        attempt.add(ANSWER)
-        attempt.end()
+        attempt.append(ANSWER)
+        attempt.finish()
 
 
 def received(context: Context, number: int) -> list[Message]:
@@ -180,18 +180,18 @@
 
 
 @then("it began once and the answer comes on connection {number:d}")
-def check_on(context: Context, number: int) -> None:
+def check_answered_on(context: Context, number: int) -> None:
     messages = received(context, number)
-    assert len(context.serving.begun) == 1, context.serving.begun
+    assert len(context.serving.started) == 1, context.serving.started
     data = [message.data for message in messages if isinstance(message, Chunk)]
-    assert (data, messages[-1]) == ([ANSWER], End(*KEY, len(ANSWER))), messages
+    assert (data, messages[-1]) == ([ANSWER], End(*ATTEMPT_KEY, len(ANSWER))), messages
 
 
 @then("it began once and connection {number:d} is told that the outcome is unknown")
 def check_told_unknown(context: Context, number: int) -> None:
     last = received(context, number)[-1]
     assert isinstance(last, Failed) and last.outcome is Outcome.UNKNOWN, last
-    assert len(context.serving.begun) == 1, context.serving.begun
+    assert len(context.serving.started) == 1, context.serving.started
 
 
 @then("on the server, an older connection that says Hello again is refused")
@@ -223,18 +223,18 @@
 
 
 @then("the answer comes whole over connection {number:d}")
-def check_link(context: Context, number: int) -> None:
+def check_link_answer(context: Context, number: int) -> None:
     assert context.attempt, "nothing was sent"
     data = b""
     event: Event | None = None
     try:
         while not isinstance(event, End | Failed | Refused):
-            event = context.attempt.events.get(timeout=BOUND_S)
+            event = context.attempt.events.get(timeout=TIMEOUT_S)
             data += event.data if isinstance(event, Chunk) else b""
     except queue.Empty:
         raise AssertionError(f"no end came, only {data!r}") from None
     finally:
-        context.target.over.set()
+        context.target.stopped.set()
         context.link.stop()
-    assert (data, event) == (ANSWER, End(*KEY, len(ANSWER)))
-    assert context.target.opened == number, context.target.opened
+    assert (data, event) == (ANSWER, End(*ATTEMPT_KEY, len(ANSWER)))
+    assert context.target.connection_count == number, context.target.connection_count
--- a/features/steps/memory_steps.py
+++ b/features/steps/memory_steps.py
@@ -15,7 +15,7 @@
 from harness.memory_world import REGION
 from harness.memory_world import TARGET
 from harness.memory_world import MemoryWorld
-from harness.memory_world import stays
+from harness.memory_world import assert_holds
 from harness.memory_world import wait_for
 from mimosaspur_coordination.fencing import acquire_token
 from mimosaspur_state import keys
@@ -40,7 +40,7 @@
 
 @given("the engine {fencing} fencing tokens and has accelerators of {sizes} MB")
 def start_stand_ins(context: Context, fencing: str, sizes: str) -> None:
-    world = MemoryWorld(context, capacity_mb=numbers(sizes), checks=fencing == "checks")
+    world = MemoryWorld(context, capacity_mb=numbers(sizes), checks_fencing=fencing == "checks")
     context.memory = world
     context.add_cleanup(world.close)
     world.start_api()
@@ -49,7 +49,7 @@
 
 @given("the keeper's longest order delay is {ms:d} ms")
 def set_delay(context: Context, ms: int) -> None:
-    context.memory.delay_ms = ms
+    context.memory.max_order_delay_ms = ms
 
 
 @given("the engine takes {ms:d} ms for a load")
@@ -67,13 +67,13 @@
 
 @when("the engine's orders suffer {fault} of {ms:d} ms")
 def orders_suffer(context: Context, fault: str, ms: int) -> None:
-    context.memory.late_ms = ms
+    context.memory.fault_delay_ms = ms
     add_fault(context.memory.engine, fault, match=ORDERS, count=UNTIL_CLEARED, delay_ms=ms)
 
 
 @when("the engine's next order suffers {fault} of {ms:d} ms")
 def next_order_suffers(context: Context, fault: str, ms: int) -> None:
-    context.memory.late_ms = ms
+    context.memory.fault_delay_ms = ms
     add_fault(context.memory.engine, fault, match=ORDERS, count=1, delay_ms=ms)
 
 
@@ -84,7 +84,7 @@
         lambda: any(it["struck"] for it in call(address, "GET", "/faults")["faults"]),
         "an order is struck by the fault",
     )
-    context.memory.struck_ms = now_ms()
+    context.memory.fault_applied_at_ms = now_ms()
 
 
 @when("the keeper's bundle has version {version} of the adapters")
@@ -92,13 +92,13 @@
     world: MemoryWorld = context.memory
     for model in list(world.models.values()):
         sizes = [adapter.memory_mb for adapter in model.adapters]
-        world.serve(model.resident(), model.memory_mb, sizes, changed=version)
+        world.add_model(model.resident_id(), model.memory_mb, sizes, changed=version)
 
 
 @then('the engine had "{first}" ready before it unloaded "{second}"')
 def ready_before(context: Context, first: str, second: str) -> None:
     world: MemoryWorld = context.memory
-    at_ms = {(order["kind"], order["id"]): order["at_ms"] for order in world.log()["orders"]}
+    at_ms = {(order["kind"], order["id"]): order["at_ms"] for order in world.engine_log()["orders"]}
     gap_ms = at_ms["unload", second] - at_ms["load", first]
     assert gap_ms >= world.load_ms, f"the unload came {gap_ms} ms after the load's order"
 
@@ -107,12 +107,14 @@
 def orders_suffer_nothing(context: Context) -> None:
     call(context.memory.engine, "DELETE", "/faults")
     # The last order that a fault struck came before this.
-    context.memory.struck_ms = now_ms()
+    context.memory.fault_applied_at_ms = now_ms()
 
 
 @then("the engine's late order has arrived")
 def late_order_arrived(context: Context) -> None:
-    arrived_ms = context.memory.struck_ms + context.memory.late_ms + ARRIVAL_MARGIN_MS
+    arrived_ms = (
+        context.memory.fault_applied_at_ms + context.memory.fault_delay_ms + ARRIVAL_MARGIN_MS
+    )
     wait_for(lambda: now_ms() > arrived_ms, "the late order's time is over")
 
 
@@ -128,8 +130,8 @@
 
 @step('the keeper\'s target is to load "{resident}" of {mb:d} MB with adapters of {sizes} MB')
 def load_with_adapters(context: Context, resident: str, mb: int, sizes: str) -> None:
-    context.memory.serve(resident, mb, numbers(sizes) if sizes else [])
-    context.memory.place(resident, ReplicaState.LOAD)
+    context.memory.add_model(resident, mb, numbers(sizes) if sizes else [])
+    context.memory.write_replica(resident, ReplicaState.LOAD)
 
 
 @step('the keeper\'s target is to load "{resident}" of {mb:d} MB instead')
@@ -137,21 +139,21 @@
     world: MemoryWorld = context.memory
     former = list(world.models)
     world.models.clear()
-    world.serve(resident, mb, [])
+    world.add_model(resident, mb, [])
     for name in former:
-        kept = [item for item in world.record(name).replicas if item.target == TARGET]
+        kept = [item for item in world.read_record(name).replicas if item.target == TARGET]
         for replica in kept:
-            world.write(world.record(name).without(TARGET, replica.version))
-    world.place(resident, ReplicaState.LOAD)
+            world.write_record(world.read_record(name).without(TARGET, replica.version))
+    world.write_replica(resident, ReplicaState.LOAD)
 
 
 @when("the keeper starts")
 def start_keeper(context: Context) -> None:
     world: MemoryWorld = context.memory
-    world.start_keeper()
-    sender = world.keeper.sender
+    world.start_reconciler()
+    sender = world.reconciler.sender
     wait_for(lambda: sender.token > 0, "the keeper takes a fencing token")
-    if world.checks:
+    if world.checks_fencing:
         wait_for(
             lambda: call(world.engine, "GET", "/admin/state")["fencing"] >= sender.token,
             "the keeper fences its predecessor off",
@@ -160,12 +162,12 @@
 
 @when("the keeper starts without a token")
 def start_without_token(context: Context) -> None:
-    context.memory.start_keeper()
+    context.memory.start_reconciler()
 
 
 @when("the keeper is killed")
 def kill_keeper(context: Context) -> None:
-    context.memory.keepers[-1].kill()
+    context.memory.reconcilers[-1].kill()
 
 
 @when("the keeper has paused for {ms:d} ms")
@@ -180,7 +182,7 @@
 
 @when("the keeper goes on")
 def go_on(context: Context) -> None:
-    assert not context.memory.keepers[-1].stop.is_set()
+    assert not context.memory.reconcilers[-1].stop.is_set()
 
 
 @when('the engine is loading "{resident}"')
@@ -198,9 +200,9 @@
 @then('the keeper makes "{resident}" ready')
 def made_ready(context: Context, resident: str) -> None:
     world: MemoryWorld = context.memory
-    wait_for(lambda: world.state_here(resident) is ReplicaState.READY, f"{resident} is READY")
-    world.loaded_at = world.store.list(keys.placements(REGION)).revision
-    assert resident in world.keeper.ready_residents(), world.keeper.ready_residents()
+    wait_for(lambda: world.replica_state(resident) is ReplicaState.READY, f"{resident} is READY")
+    world.ready_revision = world.store.list(keys.placements(REGION)).revision
+    assert resident in world.reconciler.ready_residents(), world.reconciler.ready_residents()
 
 
 @then('the engine has only "{wanted}" resident')
@@ -216,12 +218,12 @@
 def stays_resident(context: Context, ms: int, wanted: str = "") -> None:
     world: MemoryWorld = context.memory
     ready = dict.fromkeys(names(wanted), "ready")
-    stays(lambda: world.residents() == ready, ms, f"{wanted} did not stay resident")
+    assert_holds(lambda: world.residents() == ready, ms, f"{wanted} did not stay resident")
 
 
 @then("the engine loaded {count:d} times")
 def load_count(context: Context, count: int) -> None:
-    assert context.memory.log()["loads"] == count, context.memory.log()
+    assert context.memory.engine_log()["loads"] == count, context.memory.engine_log()
 
 
 @then("the engine was never overcommitted")
@@ -231,7 +233,7 @@
 
 @then("the keeper reports {mb:d} MB free on accelerator {index:d}")
 def reports_free(context: Context, mb: int, index: int) -> None:
-    keeper = context.memory.keeper
+    keeper = context.memory.reconciler
     wait_for(
         lambda: keeper.free_mb()[index : index + 1] == (mb,),
         f"{mb} MB free on accelerator {index}",
@@ -240,7 +242,7 @@
 
 @then('the keeper reports "{model}" with {mb:d} MB on accelerator {index:d}')
 def reports_layout(context: Context, model: str, mb: int, index: int) -> None:
-    keeper = context.memory.keeper
+    keeper = context.memory.reconciler
     wait_for(
         lambda: (keeper.layout(), keeper.held_mb()) == ({model: (index,)}, {model: mb}),
         f"{model} with {mb} MB on accelerator {index}",
@@ -256,15 +258,17 @@
 @then('the keeper has "{wanted}" usable for {ms:d} ms')
 @then('the keeper has "" usable for {ms:d} ms')
 def stays_usable(context: Context, ms: int, wanted: str = "") -> None:
-    keeper = context.memory.keeper
+    keeper = context.memory.reconciler
     expected = tuple(names(wanted))
     wait_for(lambda: keeper.ready_residents() == expected, f"{wanted!r} is usable")
-    stays(lambda: keeper.ready_residents() == expected, ms, f"{wanted!r} did not stay usable")
+    assert_holds(
+        lambda: keeper.ready_residents() == expected, ms, f"{wanted!r} did not stay usable"
+    )
 
 
 @then("the keeper before it gives no more orders")
 def fenced_out(context: Context) -> None:
-    former = context.memory.keepers[0].keeper
+    former = context.memory.reconcilers[0].reconciler
     wait_for(lambda: former.sender.fenced_out, "the former keeper stops its orders")
 
 
--- a/features/steps/memory_store_steps.py
+++ b/features/steps/memory_store_steps.py
@@ -9,7 +9,7 @@
 from harness.control import UNTIL_CLEARED
 from harness.control import add_fault
 from harness.control import call
-from harness.memory_world import OTHER
+from harness.memory_world import OTHER_TARGET
 from harness.memory_world import REGION
 from harness.memory_world import MemoryWorld
 from harness.memory_world import wait_for
@@ -48,30 +48,30 @@
 def turned_back(context: Context, resident: str) -> None:
     world: MemoryWorld = context.memory
     prefixes = (keys.placements(REGION),)
-    changes = world.store.watch(prefixes, world.loaded_at, 5000).objects
+    changes = world.store.watch(prefixes, world.ready_revision, 5000).objects
     assert changes, "the record did not change"
     assert changes[0].value["replicas"][0]["state"] == "load", changes[0]
 
 
 @then("the keeper's fencing token is {token:d}")
 def token_is(context: Context, token: int) -> None:
-    assert context.memory.keeper.sender.token == token
+    assert context.memory.reconciler.sender.token == token
 
 
 @when('the keeper\'s replica "{resident}" is to leave')
 def is_to_leave(context: Context, resident: str) -> None:
-    context.memory.place(resident, ReplicaState.LEAVING)
+    context.memory.write_replica(resident, ReplicaState.LEAVING)
 
 
 @when('the keeper learns of "{resident}" ready on another target')
 def ready_elsewhere(context: Context, resident: str) -> None:
-    context.memory.place(resident, ReplicaState.READY, target=OTHER)
+    context.memory.write_replica(resident, ReplicaState.READY, target=OTHER_TARGET)
 
 
 @then('the keeper takes "{resident}" out of the record')
 def taken_out(context: Context, resident: str) -> None:
     world: MemoryWorld = context.memory
-    wait_for(lambda: world.state_here(resident) is None, f"{resident} is out of the record")
+    wait_for(lambda: world.replica_state(resident) is None, f"{resident} is out of the record")
 
 
 @when("the keeper knows no bundle and its records are gone")
--- a/features/steps/operators_steps.py
+++ b/features/steps/operators_steps.py
@@ -11,16 +11,16 @@
 from behave import when
 from behave.runner import Context
 
-from harness.operators import Ended
-from harness.operators import OperatorDesk
+from harness.operators import CommandResult
+from harness.operators import OperatorCli
 
 REGION = "alajuela"
-FOREVER = -1
-HELD_MS = 1500
-LATE_MS = 150
-WAIT_S = 20.0
-POLL_S = 0.02
-BAD_FILES = {
+UNLIMITED_COUNT = -1
+HEAD_WRITE_DELAY_MS = 1500
+FAULT_DELAY_MS = 150
+FAULT_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.02
+INVALID_BUNDLES = {
     "two versions of one name": '{"name": "b", "models": ['
     '{"name": "m", "version": "1", "memory_mb": 10},'
     '{"name": "m", "version": "2", "memory_mb": 10}]}',
@@ -32,36 +32,36 @@
 }
 
 
-def desk_of(context: Context) -> OperatorDesk:
-    desk: OperatorDesk = context.desk
-    return desk
+def cli_of(context: Context) -> OperatorCli:
+    operator_cli: OperatorCli = context.operator_cli
+    return operator_cli
 
 
-def model(name: str, *, version: str, memory_mb: int) -> dict[str, Any]:
+def model_entry(name: str, *, version: str, memory_mb: int) -> dict[str, Any]:
     return {"name": name, "version": version, "memory_mb": memory_mb}
 
 
-def expect_success(ended: Ended) -> Ended:
+def expect_success(ended: CommandResult) -> CommandResult:
     assert ended.exit_code == 0, f"exit code {ended.exit_code}: {ended.errors}"
     return ended
 
 
-def write_bundle(context: Context, operator: str, name: str, memory_mb: int) -> Ended:
-    entry = model("handover", version=name, memory_mb=memory_mb)
+def write_bundle(context: Context, operator: str, name: str, memory_mb: int) -> CommandResult:
+    entry = model_entry("handover", version=name, memory_mb=memory_mb)
     text = json.dumps({"name": name, "models": [entry]})
-    path = desk_of(context).file(f"{name}.json", f"// {name}\n{text}")
-    return desk_of(context).run(operator, "bundle", "write", str(path))
+    path = cli_of(context).write_file(f"{name}.json", f"// {name}\n{text}")
+    return cli_of(context).run(operator, "bundle", "write", str(path))
 
 
-def wait_until_struck(desk: OperatorDesk) -> None:
-    end = time.monotonic() + WAIT_S
-    while not desk.struck():
+def wait_for_fault(cli: OperatorCli) -> None:
+    end = time.monotonic() + FAULT_TIMEOUT_S
+    while not cli.triggered_faults():
         assert time.monotonic() < end, "the ordered fault never struck"
-        time.sleep(POLL_S)
+        time.sleep(POLL_INTERVAL_S)
 
 
 def current_roll(context: Context) -> dict[str, Any] | None:
-    status = expect_success(desk_of(context).run("", "bundle", "status")).value()
+    status = expect_success(cli_of(context).run("", "bundle", "status")).value()
     found: dict[str, Any] | None = status["current"]
     return found
 
@@ -85,13 +85,13 @@
         "slots": 8,
         "beat": 1,
     }
-    desk_of(context).put(f"status/{REGION}/target-1", status)
+    cli_of(context).create_object(f"status/{REGION}/target-1", status)
 
 
 @given("an operator desk without targets")
 def operator_desk_without_targets(context: Context) -> None:
-    context.desk = OperatorDesk(context.processes)
-    context.add_cleanup(shutil.rmtree, context.desk.folder)
+    context.operator_cli = OperatorCli(context.processes)
+    context.add_cleanup(shutil.rmtree, context.operator_cli.folder)
 
 
 @given('operator "{operator}" wrote bundle "{name}"')
@@ -106,27 +106,27 @@
 
 @given('operator "{operator}" approved bundle "{name}"')
 def operator_approved(context: Context, operator: str, name: str) -> None:
-    expect_success(desk_of(context).run(operator, "bundle", "approve", name))
+    expect_success(cli_of(context).run(operator, "bundle", "approve", name))
 
 
 @given('operator "{operator}" rolled bundle "{name}"')
 def operator_rolled(context: Context, operator: str, name: str) -> None:
-    expect_success(desk_of(context).run(operator, "bundle", "roll", name))
+    expect_success(cli_of(context).run(operator, "bundle", "roll", name))
 
 
 @given('the operator faces fault "{kind}" {count:d} times on "{match}"')
 def operator_fault(context: Context, kind: str, count: int, match: str) -> None:
-    desk_of(context).fault(kind, match, count, LATE_MS)
+    cli_of(context).add_fault(kind, match, count, FAULT_DELAY_MS)
 
 
 @given('the operator faces fault "{kind}" after {delay_ms:d} ms on "{match}"')
 def operator_fault_after(context: Context, kind: str, delay_ms: int, match: str) -> None:
-    desk_of(context).fault(kind, match, 1, delay_ms)
+    cli_of(context).add_fault(kind, match, 1, delay_ms)
 
 
 @given('the operator faces fault "{kind}" always on "{match}"')
 def operator_fault_always(context: Context, kind: str, match: str) -> None:
-    desk_of(context).fault(kind, match, FOREVER)
+    cli_of(context).add_fault(kind, match, UNLIMITED_COUNT)
 
 
 @given('the operator finds "{name}" in the instance list')
@@ -138,20 +138,20 @@
         "failure_domain": "hangar-oeste",
         "state": "live",
     }
-    desk_of(context).call("PUT", f"/instances/{name}", instance)
+    cli_of(context).call("PUT", f"/instances/{name}", instance)
 
 
 @given('the operator finds the only ready replica of "{name}" on "{target}"')
 def operator_finds_replica(context: Context, name: str, target: str) -> None:
     replica = {"target": target, "version": "1", "state": "ready"}
     record = {"model": name, "generation": 1, "replicas": [replica]}
-    desk_of(context).put(f"placement/{REGION}/{name}", record)
+    cli_of(context).create_object(f"placement/{REGION}/{name}", record)
 
 
 @given('an operator "{operator}" whose approval of "{name}" is of another content')
 def operator_approved_other(context: Context, operator: str, name: str) -> None:
     approval = {"digest": "0" * 64, "operator": operator, "at_ms": 1}
-    desk_of(context).put(f"approvals/{name}", approval)
+    cli_of(context).create_object(f"approvals/{name}", approval)
 
 
 @when('operator "{operator}" checks settings without "{key}"')
@@ -163,8 +163,8 @@
         "entry": {"listen": "127.0.0.1:9"},
     }
     del settings["entry"][key]
-    path = desk_of(context).file("settings.json", json.dumps(settings))
-    context.ended = desk_of(context).run(operator, "settings", "check", str(path))
+    path = cli_of(context).write_file("settings.json", json.dumps(settings))
+    context.ended = cli_of(context).run(operator, "settings", "check", str(path))
 
 
 @when('operator "{operator}" writes bundle "{name}"')
@@ -174,34 +174,34 @@
 
 @when('operator "{operator}" writes a bundle with {fault}')
 def operator_writes_bad(context: Context, operator: str, fault: str) -> None:
-    path = desk_of(context).file("bad.json", BAD_FILES[fault])
-    context.ended = desk_of(context).run(operator, "bundle", "write", str(path))
+    path = cli_of(context).write_file("bad.json", INVALID_BUNDLES[fault])
+    context.ended = cli_of(context).run(operator, "bundle", "write", str(path))
 
 
 @when('operator "{operator}" runs "{arguments}"')
 def operator_runs(context: Context, operator: str, arguments: str) -> None:
-    context.ended = desk_of(context).run(operator, *arguments.split())
+    context.ended = cli_of(context).run(operator, *arguments.split())
 
 
 @when('an operator without a name runs "{arguments}"')
 def operator_without_name_runs(context: Context, arguments: str) -> None:
-    context.ended = desk_of(context).run("", *arguments.split())
+    context.ended = cli_of(context).run("", *arguments.split())
 
 
 @when('operators "{first}" and "{second}" roll "{one}" and "{other}" at the same moment')
 def operators_roll_at_once(context: Context, first: str, second: str, one: str, other: str) -> None:
-    desk = desk_of(context)
+    cli = cli_of(context)
     # The first write of the head is held until the other operator had time to write it too.
-    desk.fault("slow", "PUT /objects/head", 1, HELD_MS)
-    started = desk.start(first, "bundle", "roll", one)
-    wait_until_struck(desk)
-    ended = desk.run(second, "bundle", "roll", other)
-    context.rolls = {one: desk.wait(started), other: ended}
+    cli.add_fault("slow", "PUT /objects/head", 1, HEAD_WRITE_DELAY_MS)
+    started = cli.start(first, "bundle", "roll", one)
+    wait_for_fault(cli)
+    ended = cli.run(second, "bundle", "roll", other)
+    context.rolls = {one: cli.wait(started), other: ended}
 
 
 @then("just one operator won and the other was told who")
 def just_one_operator_won(context: Context) -> None:
-    rolls: dict[str, Ended] = context.rolls
+    rolls: dict[str, CommandResult] = context.rolls
     won = [name for name, ended in rolls.items() if ended.exit_code == 0]
     assert len(won) == 1, {name: (item.exit_code, item.errors) for name, item in rolls.items()}
     lost = next(ended for name, ended in rolls.items() if name not in won)
@@ -232,7 +232,7 @@
 
 @then('the operator\'s command exits {exit_code:d} with error {code:d} "{name}"')
 def operator_command_fails(context: Context, exit_code: int, code: int, name: str) -> None:
-    ended: Ended = context.ended
+    ended: CommandResult = context.ended
     assert ended.exit_code == exit_code, f"exit code {ended.exit_code}: {ended.errors}"
     error = ended.error()
     assert (error["code"], error["name"]) == (code, name), error
@@ -240,14 +240,14 @@
 
 @then('the operator\'s command exits {exit_code:d} and says "{text}"')
 def operator_command_exits(context: Context, exit_code: int, text: str) -> None:
-    ended: Ended = context.ended
+    ended: CommandResult = context.ended
     assert ended.exit_code == exit_code, f"exit code {ended.exit_code}: {ended.errors}"
     assert text in ended.output + ended.errors, ended
 
 
 @then('the operator reads "{text}"')
 def operator_reads(context: Context, text: str) -> None:
-    ended: Ended = context.ended
+    ended: CommandResult = context.ended
     assert text in ended.output + ended.errors, ended
 
 
@@ -255,6 +255,6 @@
 def operator_reads_audit(
     context: Context, operator: str, action: str, subject: str, outcome: str
 ) -> None:
-    steps = expect_success(desk_of(context).run("", "audit")).value()
+    steps = expect_success(cli_of(context).run("", "audit")).value()
     found = [(item["operator"], item["action"], item["subject"], item["outcome"]) for item in steps]
     assert (operator, action, subject, outcome) in found, steps
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -47,7 +47,7 @@
 @then('the site gave the whole answer of "{name}" to "{content}"')
 def check_answer(context: Context, name: str, content: str) -> None:
     reply = context.reply
-    assert reply.whole(), (reply.status, reply.body)
+    assert reply.is_complete(), (reply.status, reply.body)
     wanted = expected_answer(f"{name}@1", content, TOKENS)
     assert reply.text() == wanted, (reply.text(), wanted)
 
--- a/features/steps/planner_any_steps.py
+++ b/features/steps/planner_any_steps.py
@@ -82,7 +82,7 @@
     for bundle in bundles:
         for model in bundle.models:
             size = (model.memory_mb, model.accelerators)
-            if sizes.setdefault(model.resident(), size) != size:
+            if sizes.setdefault(model.resident_id(), size) != size:
                 return False
     return True
 
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -14,21 +14,21 @@
 from harness.control import struck
 from harness.control import wait_for
 from harness.reach_world import Sampler
-from harness.reach_world import bundle_of
 from harness.reach_world import engine_logs
-from harness.reach_world import names_of
-from harness.reach_world import residents_of
-from harness.reach_world import rolled
+from harness.reach_world import is_roll_complete
+from harness.reach_world import parse_models
+from harness.reach_world import residents_by_name
+from harness.reach_world import served_names
 from harness.site import REGION
 from harness.site import Site
 from harness.site import begin_site
 from mimosaspur_state import keys
 
-SLOW_MS = 800
-LATE_MS = 4500
-DEFAULT_WATCH_MS = 10_000
-DEFAULT_STATUS_MS = 5000
-KINDS = ("read", "write", "watch")
+SLOW_API_DELAY_MS = 800
+LATE_WRITE_DELAY_MS = 4500
+DEFAULT_WATCH_TIMEOUT_MS = 10_000
+DEFAULT_STATUS_INTERVAL_MS = 5000
+CALL_KINDS = ("read", "write", "watch")
 
 
 @given('a platform site with two entries that serves "{bundle}"')
@@ -39,60 +39,60 @@
     for number in range(2):
         site.entry(f"entry-{number}")
     site.await_targets()
-    site.roll("first", bundle_of(bundle))
+    site.roll("first", parse_models(bundle))
     context.bundle = bundle
-    context.names = names_of(bundle)
+    context.names = served_names(bundle)
     for name in ("entry-0", "entry-1"):
         site.await_served(name, *context.names)
-    wait_for(partial(rolled, site, bundle), "the first bundle's replicas")
+    wait_for(partial(is_roll_complete, site, bundle), "the first bundle's replicas")
 
 
 @when("the platform's API is {fault} for {seconds:d} s while every name is sampled")
 def break_api(context: Context, fault: str, seconds: int) -> None:
-    samplers = _sample_all(context, context.bundle)
+    samplers = _start_samplers(context, context.bundle)
     add_fault(context.site.api, fault)
     time.sleep(seconds)
     assert struck(context.site.api) > 0
     clear_faults(context.site.api)
-    _stop_all(context, samplers)
+    _stop_samplers(context, samplers)
 
 
 @when("the platform's API is slow")
 def slow_api(context: Context) -> None:
-    add_fault(context.site.api, "slow", delay_ms=SLOW_MS)
+    add_fault(context.site.api, "slow", delay_ms=SLOW_API_DELAY_MS)
 
 
 @when('the platform site rolls "{bundle}" while every name is sampled')
 def roll_sampled(context: Context, bundle: str) -> None:
-    samplers = _sample_all(context, bundle)
+    samplers = _start_samplers(context, bundle)
     roll_platform(context, bundle)
     site, rolled_at = context.site, time.monotonic()
     # Asking the records would be slow too, so the engines alone tell when it is done.
-    wanted = set(residents_of(bundle).values())
-    wait_for(lambda: _resident(site) == wanted, "the roll in a slow API", bound_s=30)
+    wanted = set(residents_by_name(bundle).values())
+    wait_for(lambda: _resident_ids(site) == wanted, "the roll in a slow API", bound_s=30)
     print(f"MEASURED slow roll done after {time.monotonic() - rolled_at:.1f} s")
-    _stop_all(context, samplers)
+    _stop_samplers(context, samplers)
 
 
 @then("none of the platform samples failed")
 def check_platform_samples(context: Context) -> None:
     for sampler in context.samplers:
-        assert all(count > 10 for count in sampler.asked.values()), sampler.asked
-        assert not sampler.failures, (sampler.entry, sampler.asked, sampler.failures[:5])
+        assert all(count > 10 for count in sampler.request_counts.values()), sampler.request_counts
+        assert not sampler.failures, (sampler.entry, sampler.request_counts, sampler.failures[:5])
 
 
 @when('the platform site rolls "{bundle}"')
 def roll_platform(context: Context, bundle: str) -> None:
     context.rolled_at = time.monotonic()
-    context.site.roll("second", bundle_of(bundle))
+    context.site.roll("second", parse_models(bundle))
     context.bundle = bundle
 
 
 @then("the platform site holds just that within {bound:d} s")
 def check_rolled(context: Context, bound: int) -> None:
     site = context.site
-    held = partial(rolled, site, context.bundle)
-    wait_for(held, f"{context.bundle}; {_resident(site)}", bound_s=bound)
+    held = partial(is_roll_complete, site, context.bundle)
+    wait_for(held, f"{context.bundle}; {_resident_ids(site)}", bound_s=bound)
     print(f"MEASURED rolled after {time.monotonic() - context.rolled_at:.1f} s")
 
 
@@ -100,14 +100,14 @@
 def check_holds(context: Context, bundle: str, bound: int) -> None:
     running = {name: it for name, it in context.site.engines.items() if it.process.poll() is None}
     context.site.engines = running
-    wait_for(partial(rolled, context.site, bundle), bundle, bound_s=bound)
+    wait_for(partial(is_roll_complete, context.site, bundle), bundle, bound_s=bound)
 
 
 @when('the platform\'s API answers 429 to "{calls}" for {seconds:d} s')
 def refuse_calls(context: Context, calls: str, seconds: int) -> None:
     site = context.site
     add_fault(site.api, "error", match=f" {calls}", status=429)
-    _count(context, seconds)
+    _measure_call_rates(context, seconds)
     clear_faults(site.api)
 
 
@@ -123,15 +123,15 @@
     site = context.site
     for name, daemon in site.daemons.items():
         settings = daemon.settings
-        settings["platform"]["watch_ms"] = DEFAULT_WATCH_MS
+        settings["platform"]["watch_ms"] = DEFAULT_WATCH_TIMEOUT_MS
         settings["planner"] = {}
         if daemon.role == "target":
-            settings["target"]["status_ms"] = DEFAULT_STATUS_MS
+            settings["target"]["status_ms"] = DEFAULT_STATUS_INTERVAL_MS
         site.kill(name)
         site.restart(name)
     for name in ("entry-0", "entry-1"):
         site.await_served(name, *context.names)
-    wait_for(lambda: _planning(site) in site.daemons, "an entry plans", bound_s=15)
+    wait_for(lambda: _planner_holder(site) in site.daemons, "an entry plans", bound_s=15)
 
 
 @when("the platform site is idle for {seconds:d} s")
@@ -139,9 +139,11 @@
     site = context.site
     # The lease that a killed entry held runs out first; the new holder lists before it watches.
     for _ in range(2):
-        wait_for(partial(_beat_after, site, _beat(site)), "a beat of the planner", bound_s=20)
-    context.planning = _planning(site)
-    _count(context, seconds)
+        wait_for(
+            partial(_lease_renewed, site, _lease_version(site)), "a beat of the planner", bound_s=20
+        )
+    context.planning = _planner_holder(site)
+    _measure_call_rates(context, seconds)
 
 
 @then(
@@ -159,8 +161,10 @@
 @when('the planning entry is paused with a late write while the site rolls "{bundle}"')
 def pause_with_late_write(context: Context, bundle: str) -> None:
     site = context.site
-    context.former = _planning(site)
-    add_fault(site.api, "late", match="PUT /objects/placement", count=1, delay_ms=LATE_MS)
+    context.former = _planner_holder(site)
+    add_fault(
+        site.api, "late", match="PUT /objects/placement", count=1, delay_ms=LATE_WRITE_DELAY_MS
+    )
     roll_platform(context, bundle)
     wait_for(lambda: struck(site.api) == 1, "a write of the planning entry")
     site.pause(context.former)
@@ -170,7 +174,7 @@
 @when('the planning entry is killed while the site rolls "{bundle}"')
 def kill_planning(context: Context, bundle: str) -> None:
     site = context.site
-    context.former = _planning(site)
+    context.former = _planner_holder(site)
     site.kill(context.former)
     context.lost_at = time.monotonic()
     roll_platform(context, bundle)
@@ -179,7 +183,7 @@
 @when('the planning entry is paused while the holder of "{name}" is killed with its engine')
 def pause_and_kill(context: Context, name: str) -> None:
     site = context.site
-    context.former = _planning(site)
+    context.former = _planner_holder(site)
     site.pause(context.former)
     context.lost_at = time.monotonic()
     (found,) = site.replicas(name)
@@ -192,24 +196,24 @@
 @then("another entry plans within {bound:d} s")
 def check_successor(context: Context, bound: int) -> None:
     site = context.site
-    wait_for(lambda: _planning(site) != context.former, "another plans", bound_s=bound)
+    wait_for(lambda: _planner_holder(site) != context.former, "another plans", bound_s=bound)
     print(f"MEASURED another plans after {time.monotonic() - context.lost_at:.1f} s")
 
 
 @when("the planning entry that was paused goes on")
 def resume_planning(context: Context) -> None:
-    context.versions = _versions(context)
+    context.versions = _placement_versions(context)
     context.site.go_on(context.former)
 
 
 @then("its late writes changed nothing and each resident was loaded once")
 def check_late_write(context: Context) -> None:
     site = context.site
-    late_s = context.lost_at + LATE_MS / 1000 + 1.0 - time.monotonic()
+    late_s = context.lost_at + LATE_WRITE_DELAY_MS / 1000 + 1.0 - time.monotonic()
     # The late write arrives at a known time; the site must hold the same after it.
     time.sleep(max(1.0, late_s))
-    assert rolled(site, context.bundle), (context.bundle, _resident(site))
-    assert _versions(context) == context.versions, (context.versions, site.replicas("a"))
+    assert is_roll_complete(site, context.bundle), (context.bundle, _resident_ids(site))
+    assert _placement_versions(context) == context.versions, (context.versions, site.replicas("a"))
     loaded = [
         it["id"]
         for log in engine_logs(site).values()
@@ -219,27 +223,27 @@
     assert sorted(loaded) == ["a@1", "a@2", "b@1"], loaded
 
 
-def _planning(site: Site) -> str:
+def _planner_holder(site: Site) -> str:
     found = site.store().get(keys.planner_lease(REGION))
     return str(found.value["holder"]) if found else ""
 
 
-def _versions(context: Context) -> dict[str, int]:
+def _placement_versions(context: Context) -> dict[str, int]:
     store = context.site.store()
     found = {name: store.get(keys.placement(REGION, name)) for name in context.names}
     return {name: item.version for name, item in found.items() if item}
 
 
-def _beat(site: Site) -> int:
+def _lease_version(site: Site) -> int:
     found = site.store().get(keys.planner_lease(REGION))
     return found.version if found else 0
 
 
-def _beat_after(site: Site, version: int) -> bool:
-    return _beat(site) > version
+def _lease_renewed(site: Site, version: int) -> bool:
+    return _lease_version(site) > version
 
 
-def _resident(site: Site) -> set[str]:
+def _resident_ids(site: Site) -> set[str]:
     found = set()
     for engine in site.engines.values():
         residents = call(engine.address, "GET", "/admin/state")["residents"]
@@ -247,8 +251,8 @@
     return found
 
 
-def _sample_all(context: Context, bundle: str) -> list[Sampler]:
-    first, second = residents_of(context.bundle), residents_of(bundle)
+def _start_samplers(context: Context, bundle: str) -> list[Sampler]:
+    first, second = residents_by_name(context.bundle), residents_by_name(bundle)
     may_be = {name: {first[name], second[name]} for name in second}
     samplers = [Sampler(context.site, entry, may_be) for entry in ("entry-0", "entry-1")]
     for sampler in samplers:
@@ -256,20 +260,20 @@
     return samplers
 
 
-def _stop_all(context: Context, samplers: list[Sampler]) -> None:
+def _stop_samplers(context: Context, samplers: list[Sampler]) -> None:
     for sampler in samplers:
         sampler.stop()
     context.samplers = samplers
 
 
-def _count(context: Context, seconds: int) -> None:
+def _measure_call_rates(context: Context, seconds: int) -> None:
     site = context.site
     call(site.api, "DELETE", "/counts")
     time.sleep(seconds)
     counted = call(site.api, "GET", "/counts")["by_caller"]
     print(f"MEASURED calls {counted}")
     context.rates = {
-        name: round(sum(kinds.get(kind, 0) for kind in KINDS) / seconds, 2)
+        name: round(sum(kinds.get(kind, 0) for kind in CALL_KINDS) / seconds, 2)
         for name, kinds in counted.items()
         if name in site.daemons
     }
--- a/features/steps/reachability_records_steps.py
+++ b/features/steps/reachability_records_steps.py
@@ -25,8 +25,8 @@
 from mimosaspur_state.placement import ReplicaState
 from mimosaspur_state.placement import placement_from_value
 
-SLOW_MS = 150
-PAIR = ("t1", "t2")
+API_DELAY_MS = 150
+LEAVING_TARGETS = ("t1", "t2")
 
 
 @given("a placement record whose copies at two targets say that {copies}")
@@ -39,7 +39,9 @@
     if alone:
         record = PlacementRecord("a", 1, (*_leaving("t1"), _ready("t2")))
     version = site.store().create(key, record.to_value())
-    context.copies = {target: StoredObject(key, version, record.to_value()) for target in PAIR}
+    context.copies = {
+        target: StoredObject(key, version, record.to_value()) for target in LEAVING_TARGETS
+    }
     if alone:
         # The copy that a paused planner's write would have made, had it not been refused.
         wrong = PlacementRecord("a", 1, (_ready("t1"), *_leaving("t2")))
@@ -50,11 +52,11 @@
 def leave_at_once(context: Context, fault: str) -> None:
     api = context.site.api
     if fault == "slow":
-        add_fault(api, "slow", match="/objects", delay_ms=SLOW_MS)
+        add_fault(api, "slow", match="/objects", delay_ms=API_DELAY_MS)
     else:
         add_fault(api, "lose_answer", match="PUT /objects", count=1)
     context.left = {}
-    at_once(*(partial(_leave, context, target) for target in PAIR))
+    at_once(*(partial(_leave, context, target) for target in LEAVING_TARGETS))
     assert struck(api) > 0 or not any(context.left.values())
     clear_faults(api)
 
@@ -66,7 +68,7 @@
     record = placement_from_value(context.site.store().get(keys.placement(REGION, "a")).value)
     assert sum(context.left.values()) == left, (context.left, record)
     assert bool(record.ready()) == bool(nobody), record
-    gone = {target for target in PAIR if not record.on(target)}
+    gone = {target for target in LEAVING_TARGETS if not record.on_target(target)}
     assert gone == {target for target, out in context.left.items() if out}, (gone, context.left)
 
 
--- a/features/steps/reachability_steps.py
+++ b/features/steps/reachability_steps.py
@@ -14,21 +14,21 @@
 from harness.control import struck
 from harness.control import wait_for
 from harness.reach_world import Sampler
-from harness.reach_world import bundle_of
 from harness.reach_world import engine_logs
-from harness.reach_world import names_of
-from harness.reach_world import residents_of
-from harness.reach_world import rolled
+from harness.reach_world import is_roll_complete
+from harness.reach_world import parse_models
+from harness.reach_world import residents_by_name
+from harness.reach_world import served_names
 from harness.site import QUICK_PLANNER
 from harness.site import begin_site
 
 MS_PER_SECOND = 1000
-SETTLED_S = 20.0
-OUTAGE_S = 4.0
-LONGEST_DELAY_MS = 1800
-LATE_ORDER_MS = 1500
-FEWEST_SAMPLES = 5
-LOAD_MS = 400
+ROLL_TIMEOUT_S = 20.0
+OUTAGE_DURATION_S = 4.0
+MAX_ORDER_DELAY_MS = 1800
+ORDER_DELAY_MS = 1500
+MIN_SAMPLES = 5
+LOAD_DELAY_MS = 400
 
 
 def start_reach_site(
@@ -68,7 +68,7 @@
             f"model-{number}",
             engine_options=options,
             checks_fencing=False,
-            longest_order_delay_ms=LONGEST_DELAY_MS,
+            longest_order_delay_ms=MAX_ORDER_DELAY_MS,
         )
     site.entry("entry-0")
     site.await_targets()
@@ -76,8 +76,8 @@
 
 @given('the reach site serves "{bundle}"')
 def serve_bundle(context: Context, bundle: str) -> None:
-    context.site.roll("first", bundle_of(bundle))
-    context.names = names_of(bundle)
+    context.site.roll("first", parse_models(bundle))
+    context.names = served_names(bundle)
     context.bundle = bundle
     context.site.await_served("entry-0", *context.names)
 
@@ -85,18 +85,18 @@
 @when('every name is sampled while the reach site rolls "{bundle}"')
 def sample_a_roll(context: Context, bundle: str) -> None:
     site = context.site
-    first, second = residents_of(context.bundle), residents_of(bundle)
+    first, second = residents_by_name(context.bundle), residents_by_name(bundle)
     # A name that only the new bundle has is not there before it is loaded.
     may_be = {name: {first[name], it} for name, it in second.items() if name in first}
     sampler = Sampler(site, "entry-0", may_be)
     context.sampler = sampler
     # Loads take their time, so that a gap shows in the samples.
-    add_fault(site.weights, "slow", match="/weights/", delay_ms=LOAD_MS)
+    add_fault(site.weights, "slow", match="/weights/", delay_ms=LOAD_DELAY_MS)
     sampler.start()
-    site.roll("second", bundle_of(bundle))
+    site.roll("second", parse_models(bundle))
     try:
-        wait_for(partial(rolled, site, bundle), "the roll's end", bound_s=SETTLED_S)
-        enough = partial(sampler.asked_more_than, FEWEST_SAMPLES)
+        wait_for(partial(is_roll_complete, site, bundle), "the roll's end", bound_s=ROLL_TIMEOUT_S)
+        enough = partial(sampler.all_counts_exceed, MIN_SAMPLES)
         wait_for(enough, "samples of every name")
     finally:
         sampler.stop()
@@ -105,7 +105,7 @@
 @then("{failures} of the reach samples failed")
 def check_samples(context: Context, failures: str) -> None:
     sampler = context.sampler
-    failed = (sampler.asked, len(sampler.failures), sampler.failures[:5])
+    failed = (sampler.request_counts, len(sampler.failures), sampler.failures[:5])
     assert bool(sampler.failures) == (failures == "some"), failed
 
 
@@ -136,7 +136,7 @@
     if loss.startswith(("its process restarted", "both restarted")):
         site.restart(target)
     if outage:
-        time.sleep(OUTAGE_S)
+        time.sleep(OUTAGE_DURATION_S)
         clear_faults(site.api)
 
 
@@ -188,8 +188,8 @@
 @when('the reach site rolls "{bundle}"')
 def roll_first(context: Context, bundle: str) -> None:
     context.lost_at = time.monotonic()
-    context.names = names_of(bundle)
-    context.site.roll("rolled bundle", bundle_of(bundle))
+    context.names = served_names(bundle)
+    context.site.roll("rolled bundle", parse_models(bundle))
 
 
 @when('orders suffer {fault} in a reach roll of "{second}", {event}, and "{third}" follows')
@@ -197,16 +197,16 @@
     site = context.site
     for engine in site.engines.values():
         match = "POST /admin/orders"
-        add_fault(engine.address, fault, match=match, count=1, delay_ms=LATE_ORDER_MS)
-    site.roll("second", bundle_of(second))
+        add_fault(engine.address, fault, match=match, count=1, delay_ms=ORDER_DELAY_MS)
+    site.roll("second", parse_models(second))
     for name, engine in site.engines.items():
-        wait_for(partial(_struck_by, engine.address, 1), f"an order to {name} suffers {fault}")
+        wait_for(partial(_fault_applied, engine.address, 1), f"an order to {name} suffers {fault}")
     if event == "its processes restart":
         for name in site.engines:
             site.kill(name)
     context.lost_at = time.monotonic()
-    site.roll("third", bundle_of(third))
-    context.names = names_of(third)
+    site.roll("third", parse_models(third))
+    context.names = served_names(third)
     context.bundle = third
     if event == "its processes restart":
         for name in site.engines:
@@ -215,9 +215,9 @@
 
 @then("the reach engines took the late orders and hold just the bundle")
 def check_late_orders(context: Context) -> None:
-    time.sleep(max(0.0, context.lost_at + LATE_ORDER_MS / MS_PER_SECOND - time.monotonic()))
-    wait_for(partial(rolled, context.site, context.bundle), f"just {context.bundle}")
+    time.sleep(max(0.0, context.lost_at + ORDER_DELAY_MS / MS_PER_SECOND - time.monotonic()))
+    wait_for(partial(is_roll_complete, context.site, context.bundle), f"just {context.bundle}")
 
 
-def _struck_by(address: str, count: int) -> bool:
+def _fault_applied(address: str, count: int) -> bool:
     return struck(address) >= count
--- a/features/steps/refusals_steps.py
+++ b/features/steps/refusals_steps.py
@@ -28,12 +28,12 @@
 from mimosaspur_state.errors import MimosaspurError
 
 MODEL = "notes"
-TOKENS = 16
+MAX_TOKENS = 16
 TOKEN_MS = "40"
-WORK = "POST /v1/chat/completions"
-MS = 1000
-FAR_MS = 60_000
-EXAMPLES = 60
+CHAT_REQUEST = "POST /v1/chat/completions"
+MS_PER_S = 1000
+LONG_DEADLINE_MS = 60_000
+EXAMPLE_COUNT = 60
 
 
 @given(
@@ -46,7 +46,7 @@
     site.model_target(
         "model-0", engine_options=options, slots=1, queue=queue, service_time_ms=service
     )
-    _serve(site, replicas=1)
+    _serve_model(site, replicas=1)
 
 
 @given(
@@ -57,10 +57,10 @@
     site = begin_site(context)
     for number in range(count):
         site.model_target(f"model-{number}", slots=32)
-    _serve(site, replicas=count, retry_ratio=0.1, retry_burst=burst)
+    _serve_model(site, replicas=count, retry_ratio=0.1, retry_burst=burst)
 
 
-def _serve(site: Site, *, replicas: int, **entry: Any) -> None:
+def _serve_model(site: Site, *, replicas: int, **entry: Any) -> None:
     site.entry("entry-0", workers=64, max_in_flight=48, **entry)
     site.await_targets()
     site.roll("first", [model(MODEL, replicas=replicas)])
@@ -71,25 +71,25 @@
 @when("the engines' work suffers {fault}")
 def order_fault(context: Context, fault: str) -> None:
     for started in context.site.engines.values():
-        add_fault(started.address, fault, match=WORK, count=UNTIL_CLEARED)
+        add_fault(started.address, fault, match=CHAT_REQUEST, count=UNTIL_CLEARED)
 
 
 @when("{count:d} requests come at once")
 def ask_many(context: Context, count: int) -> None:
-    _ask(context, count, FAR_MS)
+    _send_requests(context, count, LONG_DEADLINE_MS)
 
 
 @when("{count:d} requests with a deadline of {deadline:d} ms come at once")
 def ask_in_time(context: Context, count: int, deadline: int) -> None:
-    _ask(context, count, deadline)
+    _send_requests(context, count, deadline)
 
 
-def _ask(context: Context, count: int, deadline_ms: int) -> None:
+def _send_requests(context: Context, count: int, deadline_ms: int) -> None:
     address = context.site.daemons["entry-0"].public
     headers = {"X-Deadline-Ms": str(deadline_ms)}
     context.asked = []
     for number in range(count):
-        call = chat_call(address, MODEL, f"gate {number}", max_tokens=TOKENS, headers=headers)
+        call = chat_call(address, MODEL, f"gate {number}", max_tokens=MAX_TOKENS, headers=headers)
         context.asked.append(call)
 
 
@@ -102,7 +102,7 @@
         reply, error = asked.wait(), asked.wait().error()
         assert (error["name"], error["outcome"]) == (name, "not_run"), error
         assert int(reply.headers["retry-after"]) >= 1
-        assert asked.took_ms() < bound, (asked.took_ms(), error)
+        assert asked.duration_ms() < bound, (asked.duration_ms(), error)
 
 
 @then("none of the refused ran at the engines")
@@ -136,7 +136,7 @@
     _check_order()
 
 
-@settings(max_examples=EXAMPLES, derandomize=True, database=None, deadline=None)
+@settings(max_examples=EXAMPLE_COUNT, derandomize=True, database=None, deadline=None)
 @given_any(
     strategies.lists(
         strategies.tuples(strategies.integers(0, 9), strategies.integers(0, 5)), max_size=8
@@ -146,12 +146,12 @@
 def _check_order(wanted: list[tuple[int, int]], limit: int) -> None:
     clock = SystemClock()
     queue = AdmissionQueue(clock, slots=1, max_waiting=limit, service_time_ms=0)
-    first = queue.acquire(0, Deadline(clock, FAR_MS), threading.Event())
-    base, granted = Deadline(clock, FAR_MS).at_ms, _Granted()
+    first = queue.acquire(0, Deadline(clock, LONG_DEADLINE_MS), threading.Event())
+    base, granted = Deadline(clock, LONG_DEADLINE_MS).expires_at_ms, _Granted()
     for number, (priority, later_s) in enumerate(wanted):
         deadline = Deadline(clock, 0)
-        deadline.at_ms = base + later_s * MS
-        _enter(queue, granted, number, priority, deadline)
+        deadline.expires_at_ms = base + later_s * MS_PER_S
+        _enqueue(queue, granted, number, priority, deadline)
     queue.release(first, None)
     kept = range(min(limit, len(wanted)))
     wait_for(lambda: len(granted.order) == len(kept), "all are granted")
@@ -165,7 +165,7 @@
     refused: list[int] = field(default_factory=list)
 
 
-def _enter(
+def _enqueue(
     queue: AdmissionQueue, granted: _Granted, number: int, priority: int, deadline: Deadline
 ) -> None:
     before = len(queue.waiting)
--- a/features/steps/replace_steps.py
+++ b/features/steps/replace_steps.py
@@ -135,7 +135,7 @@
     site: Site = context.site
     for _ in ENGINES:
         reply = chat_call(site.daemons["entry-2"].public, name, "x").wait()
-        assert reply.whole(), (reply.status, reply.body)
+        assert reply.is_complete(), (reply.status, reply.body)
 
 
 @given("an entry in the middle of a long watch")
--- a/features/steps/scale_any_steps.py
+++ b/features/steps/scale_any_steps.py
@@ -21,8 +21,8 @@
 from mimosaspur_coordination.routing import candidates_for
 from mimosaspur_coordination.targetdirectory import TargetDirectory
 from mimosaspur_coordination.targetdirectory import service_resident
-from mimosaspur_daemon.engine_situation import Situation
-from mimosaspur_daemon.engine_situation import Situations
+from mimosaspur_daemon.engine_snapshot import EngineSnapshot
+from mimosaspur_daemon.engine_snapshot import SnapshotBuilder
 from mimosaspur_state import keys
 from mimosaspur_state.bundle import BundleIndex
 from mimosaspur_state.bundle import bundle_from_value
@@ -146,7 +146,7 @@
             self.changes.record(what, how)
         elif kind == "carrier":
             value = PlacementRecord(what, 1, how).to_value()
-            self.changes.put(keys.carrier(REGION, what), value)
+            self.changes.put(keys.service_registration(REGION, what), value)
         elif kind == "list":
             self.former_hints.update(hints)
             listed = [
@@ -184,7 +184,7 @@
 
     def scan_service(self) -> list[Candidate]:
         """Go over all hints, as the directory did before it had an index."""
-        item = self.changes.mirror.get(keys.carrier(REGION, SERVICE))
+        item = self.changes.mirror.get(keys.service_registration(REGION, SERVICE))
         record = placement_from_value(item.value) if item else None
         carrying = {replica.target for replica in record.ready()} if record else set()
         resident = service_resident(SERVICE)
@@ -204,7 +204,7 @@
 
     def __init__(self) -> None:
         self.changes = MirrorChanges()
-        self.situations = Situations(self.changes.mirror, region=REGION, target=OWN_TARGET)
+        self.situations = SnapshotBuilder(self.changes.mirror, region=REGION, target=OWN_TARGET)
         self.index = INDEXES["1"]
         self.residents: tuple[Resident, ...] = ()
 
@@ -223,10 +223,10 @@
     def check(self) -> None:
         """Compare the situation with the scan's."""
         report = EngineState("e", 1, (10,), self.residents)
-        found = self.situations.of(report, self.index)
+        found = self.situations.build(report, self.index)
         assert found == self.scan(report), (found, self.scan(report))
 
-    def scan(self, report: EngineState) -> Situation:
+    def scan(self, report: EngineState) -> EngineSnapshot:
         """Decode and go over all records, as each round did before it remembered any."""
         found = []
         for item in self.changes.mirror.list_prefix(keys.placements(REGION)):
@@ -238,7 +238,7 @@
         assignments = orders.assignments_on(found, OWN_TARGET, self.index)
         ready = orders.ready_models(known, self.index)
         unwanted = orders.unwanted_residents(assignments, report, self.index, ready)
-        return Situation(report, self.index, known, assignments, unwanted)
+        return EngineSnapshot(report, self.index, known, assignments, unwanted)
 
 
 def check_in_any_order(
--- a/features/steps/scale_steps.py
+++ b/features/steps/scale_steps.py
@@ -16,8 +16,8 @@
 from mimosaspur_coordination.mirror import Mirror
 from mimosaspur_coordination.recordcache import RecordCache
 from mimosaspur_coordination.targetdirectory import TargetDirectory
-from mimosaspur_daemon.engine_situation import Situations
-from mimosaspur_daemon.instancefollower import InstanceFollower
+from mimosaspur_daemon.engine_snapshot import SnapshotBuilder
+from mimosaspur_daemon.instancelistpoller import InstanceListPoller
 from mimosaspur_state import keys
 from mimosaspur_state.bundle import BundleIndex
 from mimosaspur_state.bundle import bundle_from_value
@@ -131,7 +131,7 @@
     context.directory = TargetDirectory(context.mirror, region=REGION)
     context.listing = FakeInstanceList(size)
     settings = PlatformSettings(ADDRESS, ADDRESS, instance_list_ms=pause)
-    context.follower = InstanceFollower(
+    context.follower = InstanceListPoller(
         context.listing,
         context.directory,
         context.mirror,
@@ -139,7 +139,7 @@
         clock=SystemClock(),
         settings=settings,
     )
-    context.mirror.listeners.append(context.follower.follow_records)
+    context.mirror.listeners.append(context.follower.on_placement_change)
     context.stop = threading.Event()
     thread = threading.Thread(target=context.follower.run, args=(context.stop,), daemon=True)
     context.add_cleanup(context.stop.set)
@@ -252,9 +252,9 @@
 def ask_situation(context: Context, times: int) -> None:
     bundle = {"name": "b", "models": [{"name": "m0", "version": "1", "memory_mb": 1}]}
     index = BundleIndex.build(1, bundle_from_value(bundle))
-    situations = Situations(context.mirror, region=REGION, target="t1")
+    situations = SnapshotBuilder(context.mirror, region=REGION, target="t1")
     for _ in range(times):
-        found = situations.of(EngineState("e", 1, (10,)), index)
+        found = situations.build(EngineState("e", 1, (10,)), index)
         assert len(found.assignments) == context.count
 
 
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -26,13 +26,13 @@
 from mimosaspur_standins.answers import expected_answer
 
 SERVICE = "bookings"
-TOKENS = 20
-LEAVING = 14
+MAX_TOKENS = 20
+DISCONNECTING_CALLERS = 14
 CALLER_TIMEOUT_MS = 800
 MAX_IN_FLIGHT = 3
-BOOKING_MS = 600
-HUGE = 20_000
-SMALL_BUFFER = 4096
+BOOKING_DURATION_MS = 600
+LONG_ANSWER_TOKENS = 20_000
+RECEIVE_BUFFER_BYTES = 4096
 
 
 @given("a site whose every connection runs through a relay")
@@ -49,7 +49,7 @@
             silent_ms=600,
             slots=16,
         )
-    options = ("--work-ms", str(BOOKING_MS))
+    options = ("--work-ms", str(BOOKING_DURATION_MS))
     site.service_target(
         "dispatch-0", SERVICE, options=options, service_relay=True, relay=True, api=api
     )
@@ -87,23 +87,23 @@
     """Tell whether an entry serves so many callers together."""
     address = site.daemons["entry-0"].public
     calls = [chat_call(address, "notes", f"at once {n}", max_tokens=300) for n in range(count)]
-    return all(call.wait().whole() for call in calls)
+    return all(call.wait().is_complete() for call in calls)
 
 
 def check_served(site: Site, entry: str, resident: str, case: str) -> None:
     """Check that one request gets its whole answer."""
     name = resident.partition("@")[0]
-    reply = chat_call(site.daemons[entry].public, name, case, max_tokens=TOKENS).wait()
-    assert reply.whole(), (case, reply.status, reply.body)
-    assert reply.text() == expected_answer(resident, case, TOKENS), (case, reply.text())
+    reply = chat_call(site.daemons[entry].public, name, case, max_tokens=MAX_TOKENS).wait()
+    assert reply.is_complete(), (case, reply.status, reply.body)
+    assert reply.text() == expected_answer(resident, case, MAX_TOKENS), (case, reply.text())
 
 
-def send_and_stop(data: bytes, entry: Daemon) -> socket.socket:
+def send_and_stay_silent(data: bytes, entry: Daemon) -> socket.socket:
     """Connect as a caller, send some bytes and do nothing more."""
     host, _, port = entry.public.rpartition(":")
     sock = socket.socket()
     # So little room that the answer soon has nowhere to go.
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     sock.connect((host, int(port)))
     sock.sendall(data)
     return sock
@@ -119,9 +119,9 @@
 
 
 SILENT_CALLERS: dict[str, Callable[[Daemon], socket.socket]] = {
-    "half a request line": partial(send_and_stop, b"POST /v1/ch"),
-    "half a body": partial(send_and_stop, chat_bytes(TOKENS)[:-9]),
-    "not reading its answer": partial(send_and_stop, chat_bytes(HUGE)),
+    "half a request line": partial(send_and_stay_silent, b"POST /v1/ch"),
+    "half a body": partial(send_and_stay_silent, chat_bytes(MAX_TOKENS)[:-9]),
+    "not reading its answer": partial(send_and_stay_silent, chat_bytes(LONG_ANSWER_TOKENS)),
 }
 
 
@@ -135,19 +135,19 @@
         assert took_s < seconds, (row["silence"], took_s)
 
 
-def freeze(site: Site, *names: str) -> None:
+def freeze_connections(site: Site, *names: str) -> None:
     """Make the open connections through relays silent; new ones work."""
     for name in names:
         site.relays[name].strike("freeze")
 
 
-def freeze_targets(site: Site) -> None:
-    freeze(site, "model-0", "model-1")
+def freeze_target_connections(site: Site) -> None:
+    freeze_connections(site, "model-0", "model-1")
 
 
-def freeze_engines(site: Site) -> None:
+def freeze_engine_connections(site: Site) -> None:
     leave_idle_connections(site)
-    freeze(site, "engine of model-0", "engine of model-1")
+    freeze_connections(site, "engine of model-0", "engine of model-1")
 
 
 def leave_idle_connections(site: Site) -> None:
@@ -155,46 +155,48 @@
     for engine in site.engines.values():
         add_fault(engine.address, "slow", match="DELETE", delay_ms=300)
     address = site.daemons["entry-1"].public
-    wanted = cancelled_runs(site) + LEAVING
+    wanted = cancelled_run_count(site) + DISCONNECTING_CALLERS
     calls = [
-        chat_call(address, "notes", f"leaving {n}", max_tokens=HUGE, stream=True)
-        for n in range(LEAVING)
+        chat_call(address, "notes", f"leaving {n}", max_tokens=LONG_ANSWER_TOKENS, stream=True)
+        for n in range(DISCONNECTING_CALLERS)
     ]
     for call in calls:
-        wait_for(partial(has_begun, call), "the answer begins")
+        wait_for(partial(has_started, call), "the answer begins")
     for call in calls:
         assert call.connection.sock
-        call.leave()
-    wait_for(lambda: cancelled_runs(site) >= wanted, f"{LEAVING} more cancelled runs")
+        call.disconnect()
+    wait_for(
+        lambda: cancelled_run_count(site) >= wanted, f"{DISCONNECTING_CALLERS} more cancelled runs"
+    )
     for engine in site.engines.values():
         clear_faults(engine.address)
 
 
-def has_begun(call: Call) -> bool:
+def has_started(call: Call) -> bool:
     """Tell whether some of an answer has come."""
     return bool(call.reply.body)
 
 
-def cancelled_runs(site: Site) -> int:
+def cancelled_run_count(site: Site) -> int:
     """Count the runs that the engines cancelled."""
     return sum(len(site.engine_log(name)["cancelled"]) for name in site.engines)
 
 
-def freeze_all(site: Site) -> None:
-    freeze(site, *site.relays)
+def freeze_all_connections(site: Site) -> None:
+    freeze_connections(site, *site.relays)
 
 
 SILENCES = {
-    "the entry's to the targets": freeze_targets,
-    "the targets' to their engines, many idle": freeze_engines,
-    "all of the site's": freeze_all,
+    "the entry's to the targets": freeze_target_connections,
+    "the targets' to their engines, many idle": freeze_engine_connections,
+    "all of the site's": freeze_all_connections,
 }
 
 
 @then("a bundle rolled while all open connections are silent is soon in force")
 def check_rolled(context: Context) -> None:
     site = context.site
-    freeze_all(site)
+    freeze_all_connections(site)
     site.roll("second", [model("notes", replicas=2), model("quiz")], (SERVICE,))
     for entry in ("entry-0", "entry-1"):
         site.await_served(entry, "quiz")
@@ -204,17 +206,17 @@
 def check_bookings(context: Context) -> None:
     site = context.site
     address = site.daemons["entry-1"].public
-    wait_for(partial(knows_service, address), f"the entry knows {SERVICE}")
+    wait_for(partial(is_service_reachable, address), f"the entry knows {SERVICE}")
     for row in table_of(context):
         silence = row["silence"]
         call = service_call(address, SERVICE, silence, headers={"X-Deadline-Ms": "4000"})
-        wait_for(partial(has_run, site, silence), f"{silence}: the booking runs")
+        wait_for(partial(has_booking_started, site, silence), f"{silence}: the booking runs")
         BOOKING_FAULTS[silence](site)
         check_booking(call.wait(), silence, row["told"])
-        assert booked(site, silence) == 1, (silence, booked(site, silence))
+        assert booking_count(site, silence) == 1, (silence, booking_count(site, silence))
 
 
-def knows_service(address: str) -> bool:
+def is_service_reachable(address: str) -> bool:
     """Tell whether an entry reaches the service."""
     return bool(service_call(address, SERVICE, "ping").wait().status == http.client.OK)
 
@@ -228,28 +230,30 @@
         assert reply.json()["echo"] == silence, reply.body
 
 
-def booked(site: Site, body: str) -> int:
+def booking_count(site: Site, body: str) -> int:
     """Return how often a booking ran."""
     return int(site.service_log("dispatch-0")["by_body"].get(body, 0))
 
 
-def has_run(site: Site, body: str) -> bool:
+def has_booking_started(site: Site, body: str) -> bool:
     """Tell whether a booking has begun to run."""
-    return booked(site, body) > 0
+    return booking_count(site, body) > 0
 
 
 def freeze_then_cut(site: Site) -> None:
-    freeze(site, "dispatch-0")
+    freeze_connections(site, "dispatch-0")
     site.relays["dispatch-0"].strike("cut")
 
 
-def cut_service(site: Site) -> None:
+def cut_service_connection(site: Site) -> None:
     site.relays["service of dispatch-0"].strike("cut")
 
 
 BOOKING_FAULTS: dict[str, Callable[[Site], None]] = {
-    "the service's connection freezes": lambda site: freeze(site, "service of dispatch-0"),
-    "the entry's connection freezes": lambda site: freeze(site, "dispatch-0"),
+    "the service's connection freezes": lambda site: freeze_connections(
+        site, "service of dispatch-0"
+    ),
+    "the entry's connection freezes": lambda site: freeze_connections(site, "dispatch-0"),
     "the service's connection is cut": lambda site: site.relays["service of dispatch-0"].strike(
         "cut"
     ),
--- a/packages/cli/src/mimosaspur_cli/bundlecommands.py
+++ b/packages/cli/src/mimosaspur_cli/bundlecommands.py
@@ -10,12 +10,12 @@
 from mimosaspur_cli.options import AsJson
 from mimosaspur_cli.options import ObjectApi
 from mimosaspur_cli.options import Operator
-from mimosaspur_cli.options import platform_at
+from mimosaspur_cli.options import connect_or_exit
 from mimosaspur_cli.options import require_operator
-from mimosaspur_cli.output import finish
-from mimosaspur_cli.output import lines
-from mimosaspur_cli.output import table
-from mimosaspur_cli.output import time_text
+from mimosaspur_cli.output import format_lines
+from mimosaspur_cli.output import format_table
+from mimosaspur_cli.output import format_time
+from mimosaspur_cli.output import print_result
 from mimosaspur_cli.output import to_json
 from mimosaspur_coordination.bundlestatus import BundleStatus
 from mimosaspur_coordination.bundlestatus import Difference
@@ -24,7 +24,7 @@
 from mimosaspur_state.records import Approval
 from mimosaspur_state.records import WrittenBundle
 
-INDENT = 2
+JSON_INDENT = 2
 
 app = typer.Typer(help="Write, approve and roll bundles.", no_args_is_help=True)
 
@@ -41,8 +41,10 @@
     file: File, object_api: ObjectApi = "", operator: Operator = "", as_json: AsJson = False
 ) -> None:
     """Write a bundle; it is not in force until it is approved and rolled."""
-    platform = platform_at(object_api)
-    finish(bundleoperations.write(platform, file, require_operator(operator)), as_json=as_json)
+    platform = connect_or_exit(object_api)
+    print_result(
+        bundleoperations.write(platform, file, require_operator(operator)), as_json=as_json
+    )
 
 
 @app.command()
@@ -50,8 +52,10 @@
     name: Name, object_api: ObjectApi = "", operator: Operator = "", as_json: AsJson = False
 ) -> None:
     """Approve a bundle that another operator wrote."""
-    platform = platform_at(object_api)
-    finish(bundleoperations.approve(platform, name, require_operator(operator)), as_json=as_json)
+    platform = connect_or_exit(object_api)
+    print_result(
+        bundleoperations.approve(platform, name, require_operator(operator)), as_json=as_json
+    )
 
 
 @app.command()
@@ -63,11 +67,11 @@
     as_json: AsJson = False,
 ) -> None:
     """Put an approved bundle in force."""
-    platform = platform_at(object_api)
+    platform = connect_or_exit(object_api)
     result = bundleoperations.roll(
         platform, name, require_operator(operator), without_fit_check=without_fit_check
     )
-    finish(result, as_json=as_json)
+    print_result(result, as_json=as_json)
 
 
 @app.command()
@@ -77,7 +81,7 @@
     as_json: AsJson = False,
 ) -> None:
     """Show a written bundle."""
-    finish(bundleoperations.show(platform_at(object_api), name), as_json=as_json)
+    print_result(bundleoperations.show(connect_or_exit(object_api), name), as_json=as_json)
 
 
 @app.command()
@@ -88,49 +92,52 @@
     as_json: AsJson = False,
 ) -> None:
     """Show what changes from the first bundle to the second, or from the one in force to one."""
-    finish(bundleoperations.diff(platform_at(object_api), first, second), as_json=as_json)
+    print_result(bundleoperations.diff(connect_or_exit(object_api), first, second), as_json=as_json)
 
 
 @app.command()
 def status(object_api: ObjectApi = "", as_json: AsJson = False) -> None:
     """Show what is in force, and what is written or approved but not rolled."""
-    finish(bundleoperations.status(platform_at(object_api)), as_json=as_json)
+    print_result(bundleoperations.status(connect_or_exit(object_api)), as_json=as_json)
 
 
-@lines.register
+@format_lines.register
 def _(value: WrittenBundle) -> list[str]:
-    bundle = msgspec.json.format(to_json(value.bundle), indent=INDENT)
-    written = f"Written by {value.operator} at {time_text(value.at_ms)}."
+    bundle = msgspec.json.format(to_json(value.bundle), indent=JSON_INDENT)
+    written = f"Written by {value.operator} at {format_time(value.at_ms)}."
     return [*bundle.splitlines(), written, f"Digest {value.digest}."]
 
 
-@lines.register
+@format_lines.register
 def _(value: Approval) -> list[str]:
-    return [f"Approved by {value.operator} at {time_text(value.at_ms)}.", f"Digest {value.digest}."]
+    return [
+        f"Approved by {value.operator} at {format_time(value.at_ms)}.",
+        f"Digest {value.digest}.",
+    ]
 
 
-@lines.register
+@format_lines.register
 def _(value: RollResult) -> list[str]:
     roll = value.roll
     told = f"{roll.bundle} is in force as generation {roll.generation}"
     if value.already:
-        return [f"{told} already; {roll.operator} rolled it at {time_text(roll.at_ms)}."]
+        return [f"{told} already; {roll.operator} rolled it at {format_time(roll.at_ms)}."]
     return [f"{told}."]
 
 
-@lines.register
+@format_lines.register
 def _(value: BundleStatus) -> list[str]:
     roll = value.current
     if roll is None:
-        return ["No bundle is in force.", *_waiting(value.waiting)]
+        return ["No bundle is in force.", *_waiting_lines(value.waiting)]
     return [
         f"In force: generation {roll.generation}, bundle {roll.bundle}.",
-        f"Rolled by {roll.operator} at {time_text(roll.at_ms)}.",
-        *_waiting(value.waiting),
+        f"Rolled by {roll.operator} at {format_time(roll.at_ms)}.",
+        *_waiting_lines(value.waiting),
     ]
 
 
-@lines.register
+@format_lines.register
 def _(value: Difference) -> list[str]:
     if value.before is None:
         return [f"+ {value.entry}: {to_json(value.after)}"]
@@ -139,7 +146,7 @@
     return [f"~ {value.entry} {value.field}: {to_json(value.before)} -> {to_json(value.after)}"]
 
 
-def _waiting(bundles: list[WaitingBundle]) -> list[str]:
+def _waiting_lines(bundles: list[WaitingBundle]) -> list[str]:
     if not bundles:
         return ["No bundle waits."]
     rows = [["not rolled", "written by", "approved by", "against", ""]]
@@ -148,4 +155,4 @@
         approved_by = bundle.approved_by or "-"
         against = str(bundle.base_generation)
         rows.append([bundle.name, bundle.written_by, approved_by, against, note])
-    return table(rows)
+    return format_table(rows)
--- a/packages/cli/src/mimosaspur_cli/bundlefile.py
+++ b/packages/cli/src/mimosaspur_cli/bundlefile.py
@@ -15,14 +15,14 @@
     try:
         value = pyjson5.decode(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
-        raise _bad(path, f"it can't be read ({error})") from error
+        raise _bad_bundle(path, f"it can't be read ({error})") from error
     except pyjson5.Json5Exception as error:
-        raise _bad(path, f"it is not JSON with comments ({error.message})") from error
+        raise _bad_bundle(path, f"it is not JSON with comments ({error.message})") from error
     try:
         return bundle_from_value(value)
     except MimosaspurError as error:
-        raise _bad(path, error.detail.rstrip(".")) from error
+        raise _bad_bundle(path, error.detail.rstrip(".")) from error
 
 
-def _bad(path: Path, fault: str) -> MimosaspurError:
+def _bad_bundle(path: Path, fault: str) -> MimosaspurError:
     return MimosaspurError(ResultCode.BAD_BUNDLE, f"{path}: {fault}.")
--- a/packages/cli/src/mimosaspur_cli/bundleoperations.py
+++ b/packages/cli/src/mimosaspur_cli/bundleoperations.py
@@ -6,7 +6,7 @@
 
 from mimosaspur_cli.bundlefile import read_bundle_file
 from mimosaspur_cli.platform import Platform
-from mimosaspur_cli.platform import attempt
+from mimosaspur_cli.platform import run_operation
 from mimosaspur_coordination import bundlestatus
 from mimosaspur_coordination import rolls
 from mimosaspur_coordination.bundlestatus import BundleStatus
@@ -25,19 +25,21 @@
         bundle = read_bundle_file(path)
         return rolls.write_bundle(platform.store, platform.clock, bundle, operator=operator)
 
-    return attempt(do)
+    return run_operation(do)
 
 
 def approve(platform: Platform, name: str, operator: str) -> Result[Approval, MimosaspurError]:
     """Approve a written bundle."""
-    return attempt(lambda: rolls.approve(platform.store, platform.clock, name, operator=operator))
+    return run_operation(
+        lambda: rolls.approve(platform.store, platform.clock, name, operator=operator)
+    )
 
 
 def roll(
     platform: Platform, name: str, operator: str, *, without_fit_check: bool
 ) -> Result[RollResult, MimosaspurError]:
     """Roll an approved bundle."""
-    return attempt(
+    return run_operation(
         lambda: rolls.roll(
             platform.store,
             platform.clock,
@@ -50,26 +52,26 @@
 
 def show(platform: Platform, name: str) -> Result[WrittenBundle, MimosaspurError]:
     """Return a written bundle; the one in force if no name is given."""
-    return attempt(lambda: _find(platform, name))
+    return run_operation(lambda: _read_bundle_or_current(platform, name))
 
 
 def diff(platform: Platform, first: str, second: str) -> Result[list[Difference], MimosaspurError]:
     """Compare two written bundles; one alone is compared with the one in force."""
 
     def do() -> list[Difference]:
-        before = _find(platform, first if second else "")
-        after = _find(platform, second or first)
+        before = _read_bundle_or_current(platform, first if second else "")
+        after = _read_bundle_or_current(platform, second or first)
         return bundlestatus.diff(before.bundle, after.bundle)
 
-    return attempt(do)
+    return run_operation(do)
 
 
 def status(platform: Platform) -> Result[BundleStatus, MimosaspurError]:
     """Return what is in force and what waits."""
-    return attempt(lambda: bundlestatus.status(platform.store))
+    return run_operation(lambda: bundlestatus.status(platform.store))
 
 
-def _find(platform: Platform, name: str) -> WrittenBundle:
+def _read_bundle_or_current(platform: Platform, name: str) -> WrittenBundle:
     if name:
         return rolls.read_bundle(platform.store, name)
     head, _ = rolls.read_head(platform.store)
--- a/packages/cli/src/mimosaspur_cli/instanceoperations.py
+++ b/packages/cli/src/mimosaspur_cli/instanceoperations.py
@@ -7,7 +7,7 @@
 
 from mimosaspur_cli.placements import read_placements
 from mimosaspur_cli.platform import Platform
-from mimosaspur_cli.platform import attempt
+from mimosaspur_cli.platform import run_operation
 from mimosaspur_coordination import audit
 from mimosaspur_coordination.audit import Action
 from mimosaspur_coordination.audit import Step
@@ -62,7 +62,7 @@
 
 def list_instances(platform: Platform) -> Result[list[InstanceRow], MimosaspurError]:
     """Return every instance that the list or a status tells of."""
-    return attempt(lambda: _rows(platform))
+    return run_operation(lambda: _instance_rows(platform))
 
 
 def drain(
@@ -71,7 +71,7 @@
     """Order an instance to leave."""
     step = Step(operator, Action.DRAIN, name, reason)
     order = DrainOrder(operator, reason, platform.clock.wall_ms())
-    return attempt(
+    return run_operation(
         lambda: audit.run_audited(
             platform.store, platform.clock, step, lambda: _drain(platform, name, order)
         )
@@ -81,14 +81,14 @@
 def undrain(platform: Platform, name: str, operator: str) -> Result[UndrainResult, MimosaspurError]:
     """Take back the order that an instance leave."""
     step = Step(operator, Action.UNDRAIN, name)
-    return attempt(
+    return run_operation(
         lambda: audit.run_audited(
             platform.store, platform.clock, step, lambda: _undrain(platform, name)
         )
     )
 
 
-def _rows(platform: Platform) -> list[InstanceRow]:
+def _instance_rows(platform: Platform) -> list[InstanceRow]:
     orders = {
         unquote(item.key.removeprefix(keys.DRAINS)): DrainOrder.from_value(item.value).operator
         for item in platform.store.list(keys.DRAINS).objects
--- a/packages/cli/src/mimosaspur_cli/main.py
+++ b/packages/cli/src/mimosaspur_cli/main.py
@@ -14,18 +14,18 @@
 from mimosaspur_cli.exitcodes import ExitCode
 from mimosaspur_cli.options import AsJson
 from mimosaspur_cli.options import ObjectApi
-from mimosaspur_cli.options import platform_at
-from mimosaspur_cli.output import finish
-from mimosaspur_cli.output import lines
-from mimosaspur_cli.output import time_text
-from mimosaspur_cli.platform import attempt
+from mimosaspur_cli.options import connect_or_exit
+from mimosaspur_cli.output import format_lines
+from mimosaspur_cli.output import format_time
+from mimosaspur_cli.output import print_result
+from mimosaspur_cli.platform import run_operation
 from mimosaspur_coordination import audit as trail
 from mimosaspur_coordination.audit import AuditedStep
 from mimosaspur_state.codes import ResultCode
 from mimosaspur_state.errors import MimosaspurError
 from mimosaspur_state.settings import load_settings
 
-DEFAULT_LIMIT = 50
+DEFAULT_AUDIT_LIMIT = 50
 
 app = typer.Typer(
     help="Drive mimosaspur: write, approve and roll bundles, and plan departures.",
@@ -51,13 +51,15 @@
 
 @app.command()
 def audit(
-    limit: Annotated[int, typer.Option("--limit", min=1, help="How many steps.")] = DEFAULT_LIMIT,
+    limit: Annotated[
+        int, typer.Option("--limit", min=1, help="How many steps.")
+    ] = DEFAULT_AUDIT_LIMIT,
     object_api: ObjectApi = "",
     as_json: AsJson = False,
 ) -> None:
     """Show operators' steps, newest first, and what became of them."""
-    platform = platform_at(object_api)
-    finish(attempt(lambda: trail.read(platform.store, limit)), as_json=as_json)
+    platform = connect_or_exit(object_api)
+    print_result(run_operation(lambda: trail.read(platform.store, limit)), as_json=as_json)
 
 
 @settings_app.callback()
@@ -74,7 +76,7 @@
     failed = False
     for file in files:
         try:
-            finish(attempt(partial(_check_file, file)), as_json=as_json)
+            print_result(run_operation(partial(_check_file, file)), as_json=as_json)
         except typer.Exit:
             # The other files are checked too, so that one run tells of every fault.
             failed = True
@@ -86,14 +88,14 @@
     return CheckedSettings(str(file), load_settings(file).role.value)
 
 
-@lines.register
+@format_lines.register
 def _(value: CheckedSettings) -> list[str]:
     return [f"{value.file}: good settings for the role {value.role}"]
 
 
-@lines.register
+@format_lines.register
 def _(value: AuditedStep) -> list[str]:
-    told = f"{time_text(value.at_ms)}  {value.operator}  {value.action} {value.subject}"
+    told = f"{format_time(value.at_ms)}  {value.operator}  {value.action} {value.subject}"
     return [f"{told}: {value.outcome}" + (f" ({value.detail})" if value.detail else "")]
 
 
--- a/packages/cli/src/mimosaspur_cli/options.py
+++ b/packages/cli/src/mimosaspur_cli/options.py
@@ -4,7 +4,7 @@
 
 import typer
 
-from mimosaspur_cli.output import usage
+from mimosaspur_cli.output import exit_with_usage_error
 from mimosaspur_cli.platform import Platform
 from mimosaspur_cli.platform import connect
 
@@ -31,18 +31,20 @@
 AsJson = Annotated[bool, typer.Option("--json", help="Print JSON for programs.")]
 
 
-def platform_at(object_api: str, instance_list: str = "") -> Platform:
+def connect_or_exit(object_api: str, instance_list: str = "") -> Platform:
     """Return the platform at the given addresses, or exit with what is wrong with them."""
     if not object_api:
-        usage(f"give --object-api ip:port or set {OBJECT_API_VARIABLE}")
+        exit_with_usage_error(f"give --object-api ip:port or set {OBJECT_API_VARIABLE}")
     try:
         return connect(object_api, instance_list)
     except ValueError as error:
-        usage(f"{error}; give ip:port")
+        exit_with_usage_error(f"{error}; give ip:port")
 
 
 def require_operator(operator: str) -> str:
     """Return the operator's name, or exit if there is none."""
     if not operator.strip():
-        usage(f"give --operator NAME or set {OPERATOR_VARIABLE}; changes are made by name")
+        exit_with_usage_error(
+            f"give --operator NAME or set {OPERATOR_VARIABLE}; changes are made by name"
+        )
     return operator.strip()
--- a/packages/cli/src/mimosaspur_cli/output.py
+++ b/packages/cli/src/mimosaspur_cli/output.py
@@ -21,41 +21,41 @@
 COLUMN_GAP = "  "
 
 
-def finish(result: Result[T, MimosaspurError], *, as_json: bool) -> None:
+def print_result(result: Result[T, MimosaspurError], *, as_json: bool) -> None:
     """Print a value to standard output, or an error to standard error and exit with its code."""
     if result.is_error():
-        fail(result.error, as_json=as_json)
+        exit_with_error(result.error, as_json=as_json)
     value = result.ok
-    text = to_json(value) if as_json else "\n".join(lines(value))
+    text = to_json(value) if as_json else "\n".join(format_lines(value))
     sys.stdout.write(f"{text}\n" if text else "")
 
 
-def fail(error: MimosaspurError, *, as_json: bool) -> NoReturn:
+def exit_with_error(error: MimosaspurError, *, as_json: bool) -> NoReturn:
     """Print an error and exit."""
     sys.stderr.write(f"{_error_text(error, as_json=as_json)}\n")
     raise typer.Exit(exit_code_of(error.code))
 
 
-def usage(message: str) -> NoReturn:
+def exit_with_usage_error(message: str) -> NoReturn:
     """Say what is wrong with the command's options and exit."""
     sys.stderr.write(f"error: {message}\n")
     raise typer.Exit(ExitCode.BAD_INPUT)
 
 
 @singledispatch
-def lines(value: object) -> list[str]:
+def format_lines(value: object) -> list[str]:
     """Return a value as lines for people."""
     return [str(value)]
 
 
-@lines.register
+@format_lines.register
 def _(value: str) -> list[str]:
     return value.splitlines()
 
 
-@lines.register
+@format_lines.register
 def _(value: list) -> list[str]:  # type: ignore[type-arg]  # singledispatch takes plain classes
-    return [line for item in value for line in lines(item)]
+    return [line for item in value for line in format_lines(item)]
 
 
 def to_json(value: object) -> str:
@@ -63,7 +63,7 @@
     return msgspec.json.encode(value).decode()
 
 
-def table(rows: list[list[str]]) -> list[str]:
+def format_table(rows: list[list[str]]) -> list[str]:
     """Lay rows out in columns."""
     widths = [max(len(cell) for cell in column) for column in zip(*rows, strict=True)]
     return [
@@ -72,7 +72,7 @@
     ]
 
 
-def time_text(at_ms: int) -> str:
+def format_time(at_ms: int) -> str:
     """Return a wall time for people, in UTC."""
     return datetime.fromtimestamp(at_ms / MS_PER_SECOND, UTC).isoformat(timespec="milliseconds")
 
--- a/packages/cli/src/mimosaspur_cli/placementcommands.py
+++ b/packages/cli/src/mimosaspur_cli/placementcommands.py
@@ -6,14 +6,14 @@
 
 from mimosaspur_cli.options import AsJson
 from mimosaspur_cli.options import ObjectApi
-from mimosaspur_cli.options import platform_at
-from mimosaspur_cli.output import finish
-from mimosaspur_cli.output import lines
-from mimosaspur_cli.output import table
+from mimosaspur_cli.options import connect_or_exit
+from mimosaspur_cli.output import format_lines
+from mimosaspur_cli.output import format_table
+from mimosaspur_cli.output import print_result
 from mimosaspur_cli.placements import PlacementView
 from mimosaspur_cli.placements import RegionCounts
-from mimosaspur_cli.placements import view
-from mimosaspur_cli.platform import attempt
+from mimosaspur_cli.placements import read_placement_view
+from mimosaspur_cli.platform import run_operation
 
 app = typer.Typer(help="See where models are placed.", no_args_is_help=True)
 
@@ -30,11 +30,11 @@
     as_json: AsJson = False,
 ) -> None:
     """Show the replicas of models in every region, and count them."""
-    platform = platform_at(object_api)
-    finish(attempt(lambda: view(platform.store, model)), as_json=as_json)
+    platform = connect_or_exit(object_api)
+    print_result(run_operation(lambda: read_placement_view(platform.store, model)), as_json=as_json)
 
 
-@lines.register
+@format_lines.register
 def _(value: PlacementView) -> list[str]:
     rows = [["region", "model", "target", "version", "state"]]
     for item in value.placements:
@@ -44,11 +44,11 @@
             rows.append([item.region, record.model, *told])
         if not record.replicas:
             rows.append([item.region, record.model, "-", "-", "-"])
-    counts = [line for region in value.counts for line in lines(region)]
-    return [*table(rows), *counts]
+    counts = [line for region in value.counts for line in format_lines(region)]
+    return [*format_table(rows), *counts]
 
 
-@lines.register
+@format_lines.register
 def _(value: RegionCounts) -> list[str]:
     told = f"{value.region}: {value.models} models, {value.ready} replicas ready"
     missing = ", ".join(value.without_ready)
--- a/packages/cli/src/mimosaspur_cli/placements.py
+++ b/packages/cli/src/mimosaspur_cli/placements.py
@@ -11,7 +11,7 @@
 from mimosaspur_state.placement import ReplicaState
 from mimosaspur_state.placement import placement_from_value
 
-ALL_PLACEMENTS = "placement/"
+PLACEMENT_PREFIX = "placement/"
 
 
 @dataclass(slots=True, frozen=True)
@@ -46,22 +46,24 @@
     """Return every region's placement records, by key."""
     return [
         Placement(region_of(item.key), placement_from_value(item.value))
-        for item in store.list(ALL_PLACEMENTS).objects
+        for item in store.list(PLACEMENT_PREFIX).objects
     ]
 
 
-def view(store: ObjectStore, model: str) -> PlacementView:
+def read_placement_view(store: ObjectStore, model: str) -> PlacementView:
     """Return the placements of one model, or of all, and the counts over them."""
     placements = read_placements(store)
     if model:
         placements = [item for item in placements if item.record.model == model]
-    wanted = _wanted(store, model)
+    wanted = _bundle_models(store, model)
     # A region whose targets report, but where nothing is placed, lacks every model.
     regions = sorted({*statuses_by_region(store), *(item.region for item in placements)})
-    return PlacementView(placements, [_count(region, placements, wanted) for region in regions])
+    return PlacementView(
+        placements, [_count_replicas(region, placements, wanted) for region in regions]
+    )
 
 
-def _wanted(store: ObjectStore, model: str) -> set[str]:
+def _bundle_models(store: ObjectStore, model: str) -> set[str]:
     head, _ = read_head(store)
     if head is None:
         return set()
@@ -69,7 +71,7 @@
     return {entry.name for entry in bundle.models if model in ("", entry.name)}
 
 
-def _count(region: str, placements: list[Placement], wanted: set[str]) -> RegionCounts:
+def _count_replicas(region: str, placements: list[Placement], wanted: set[str]) -> RegionCounts:
     records = [item.record for item in placements if item.region == region]
     states = [replica.state for record in records for replica in record.replicas]
     reachable = {record.model for record in records if record.ready()}
--- a/packages/cli/src/mimosaspur_cli/platform.py
+++ b/packages/cli/src/mimosaspur_cli/platform.py
@@ -21,8 +21,8 @@
 
 T = TypeVar("T")
 
-CALLER = "mimosaspur"
-TIMEOUT_MS = 2000
+CALLER_NAME = "mimosaspur"
+CALL_TIMEOUT_MS = 2000
 READS_PER_SECOND = 50.0
 WRITES_PER_SECOND = 20.0
 
@@ -51,19 +51,19 @@
     clock = SystemClock()
     store = HttpObjectStore(
         object_api,
-        caller=CALLER,
-        timeout_ms=TIMEOUT_MS,
+        caller=CALLER_NAME,
+        timeout_ms=CALL_TIMEOUT_MS,
         clock=clock,
         reads_per_second=READS_PER_SECOND,
         writes_per_second=WRITES_PER_SECOND,
     )
     listing = InstanceListClient(
-        instance_list or object_api, caller=CALLER, timeout_ms=TIMEOUT_MS, clock=clock
+        instance_list or object_api, caller=CALLER_NAME, timeout_ms=CALL_TIMEOUT_MS, clock=clock
     )
     return Platform(store, listing, clock)
 
 
-def attempt(do: Callable[[], T]) -> Result[T, MimosaspurError]:
+def run_operation(do: Callable[[], T]) -> Result[T, MimosaspurError]:
     """Do an operator's step and return its value or its numbered error."""
     try:
         return Ok(do())
--- a/packages/coordination/src/mimosaspur_coordination/abandonedclaims.py
+++ b/packages/coordination/src/mimosaspur_coordination/abandonedclaims.py
@@ -65,4 +65,4 @@
         except StoreUnavailable:
             return False
         # Not there, or another's: ours can still arrive once the other's is released.
-        return claim.late_write_deadline.passed()
+        return claim.late_write_deadline.has_passed()
--- a/packages/coordination/src/mimosaspur_coordination/adaptermemory.py
+++ b/packages/coordination/src/mimosaspur_coordination/adaptermemory.py
@@ -9,7 +9,7 @@
 
 def missing_adapters(entry: ModelEntry, status: TargetStatus) -> list[AdapterEntry]:
     """Return an entry's adapters that a target doesn't have ready, in the order of loading."""
-    return [item for item in entry.adapters if item.resident() not in status.residents]
+    return [item for item in entry.adapters if item.resident_id() not in status.residents]
 
 
 def lacks_adapter_memory(index: BundleIndex, entry: ModelEntry, status: TargetStatus) -> bool:
@@ -19,7 +19,7 @@
     never gets whole, and must be replaced elsewhere.
     """
     missing = missing_adapters(entry, status)
-    if not missing or not status.free_mb or entry.resident() not in status.residents:
+    if not missing or not status.free_mb or entry.resident_id() not in status.residents:
         return False
     if any(_will_be_unloaded(index, resident, status) for resident in status.residents):
         return False
@@ -28,7 +28,7 @@
 
 def free_accelerator_mb(entry: ModelEntry, status: TargetStatus) -> int:
     """Return the memory that is free on each of a replica's accelerators."""
-    chosen = accelerators_of(status, entry.resident())
+    chosen = accelerators_of(status, entry.resident_id())
     if chosen:
         return min(status.free_mb[index] for index in chosen)
     # Without a layout the best case counts: a move that isn't needed costs more than a wait.
@@ -43,4 +43,4 @@
         return True
     if served.adapter is None:
         return False
-    return served.resident() != resident and served.resident() in status.residents
+    return served.resident_id() != resident and served.resident_id() in status.residents
--- a/packages/coordination/src/mimosaspur_coordination/admission.py
+++ b/packages/coordination/src/mimosaspur_coordination/admission.py
@@ -57,7 +57,7 @@
     def acquire(self, priority: int, deadline: Deadline, cancelled: threading.Event) -> Ticket:
         """Wait for a slot and take it; raise MimosaspurError (not run) when given up on."""
         with self.changed:
-            ticket = Ticket(priority, deadline.at_ms, next(self.sequence), cancelled)
+            ticket = Ticket(priority, deadline.expires_at_ms, next(self.sequence), cancelled)
             self._check_open()
             if self.active < self.slots and not self.waiting:
                 self.active += 1
@@ -123,11 +123,11 @@
     def _check_deadline(self, ticket: Ticket, deadline: Deadline) -> None:
         ahead = sum(1 for other in self.waiting if other < ticket)
         needed_ms = self._predict_wait_ms(ahead) + self.service_time_ms
-        short_ms = int(needed_ms - deadline.left_ms())
+        short_ms = int(needed_ms - deadline.remaining_ms())
         if short_ms > 0:
             raise MimosaspurError(
                 ResultCode.DEADLINE_UNREACHABLE,
-                f"It needs {int(needed_ms)} ms and has {deadline.left_ms()} ms.",
+                f"It needs {int(needed_ms)} ms and has {deadline.remaining_ms()} ms.",
                 retry_after_ms=self._retry_after_ms(short_ms),
             )
 
@@ -139,12 +139,12 @@
                 self.waiting.remove(ticket)
                 heapq.heapify(self.waiting)
                 raise
-            self.changed.wait(deadline.left_s())
+            self.changed.wait(deadline.remaining_s())
 
     def _check_still_admissible(self, ticket: Ticket, deadline: Deadline) -> None:
         if ticket.cancelled.is_set():
             raise MimosaspurError(ResultCode.CANCELLED)
-        if deadline.passed():
+        if deadline.has_passed():
             raise MimosaspurError(
                 ResultCode.DEADLINE_UNREACHABLE, retry_after_ms=MIN_RETRY_AFTER_MS
             )
--- a/packages/coordination/src/mimosaspur_coordination/buckets.py
+++ b/packages/coordination/src/mimosaspur_coordination/buckets.py
@@ -50,7 +50,7 @@
         pause = threading.Event()
         while not self.take():
             wait_ms = max(1, self.wait_ms())
-            if wait_ms > deadline.left_ms():
+            if wait_ms > deadline.remaining_ms():
                 return False
             pause.wait(wait_ms / MS_PER_SECOND)
         return True
--- a/packages/coordination/src/mimosaspur_coordination/claims.py
+++ b/packages/coordination/src/mimosaspur_coordination/claims.py
@@ -130,7 +130,7 @@
 
     def _check_reachable(self) -> None:
         # Only one second's requests wait for a silent API to time out; the rest hear at once.
-        if not self.unavailable_until.passed():
+        if not self.unavailable_until.has_passed():
             raise _platform_unavailable()
 
     def _check_rate(self) -> None:
@@ -148,7 +148,7 @@
                 return self._resolve_existing(self._read(key, claim), claim)
             except StoreUnavailable:
                 # A second try goes over a new connection, so it tells silence from an outage.
-                if number and patience.passed():
+                if number and patience.has_passed():
                     break
         raise self._abandon(key, claim)
 
@@ -159,7 +159,7 @@
                 return self.store.get(key)
             except StoreUnavailable:
                 # A second try goes over a new connection, so it tells silence from an outage.
-                if number and patience.passed():
+                if number and patience.has_passed():
                     break
         raise self._abandon(key, claim)
 
--- a/packages/coordination/src/mimosaspur_coordination/draft.py
+++ b/packages/coordination/src/mimosaspur_coordination/draft.py
@@ -247,7 +247,7 @@
             if missing_mb:
                 # Also a replica without that room takes its adapters as soon as there is room.
                 need = Need(entry.name, missing_mb, entry.accelerators)
-                room.force_reserve(need, accelerators_of(status, entry.resident()))
+                room.force_reserve(need, accelerators_of(status, entry.resident_id()))
 
     def _lacks_adapter_room(self, entry: ModelEntry, replica: Replica) -> bool:
         status = self.view.alive[replica.target]
@@ -259,7 +259,7 @@
 
     def _entry_of_resident(self, resident: str) -> ModelEntry | None:
         entry = self.view.index.models.get(resident.rpartition("@")[0])
-        if entry and entry.resident() == resident:
+        if entry and entry.resident_id() == resident:
             return entry
         return self.view.former_entries.get(resident)
 
@@ -282,7 +282,7 @@
 
 
 def _missing_mb(entry: ModelEntry, status: TargetStatus) -> int:
-    base = 0 if entry.resident() in status.residents else entry.memory_mb
+    base = 0 if entry.resident_id() in status.residents else entry.memory_mb
     if not entry.adapters:
         return base
     return base + sum(item.memory_mb for item in missing_adapters(entry, status))
--- a/packages/coordination/src/mimosaspur_coordination/dryrun.py
+++ b/packages/coordination/src/mimosaspur_coordination/dryrun.py
@@ -42,7 +42,7 @@
         self.max_concurrent_loads = max_concurrent_loads
         # What is on targets now is as the bundle in force names it.
         self.entries_by_resident = {
-            entry.resident(): entry for entry in (*bundle.models, *in_force.models)
+            entry.resident_id(): entry for entry in (*bundle.models, *in_force.models)
         }
         self.targets = {
             item.instance: DryRunTarget(item, self.entries_by_resident) for item in targets
--- a/packages/coordination/src/mimosaspur_coordination/dryruntarget.py
+++ b/packages/coordination/src/mimosaspur_coordination/dryruntarget.py
@@ -53,8 +53,8 @@
         if chosen is None:
             return False
         self.bin.force_reserve(need, chosen)
-        adapters = {item.resident(): item.memory_mb for item in entry.adapters}
-        self.loaded[entry.resident()] = LoadedReplica(
+        adapters = {item.resident_id(): item.memory_mb for item in entry.adapters}
+        self.loaded[entry.resident_id()] = LoadedReplica(
             chosen, entry.accelerators, entry.total_mb(), adapters
         )
         self._update_status()
@@ -68,19 +68,19 @@
 
     def is_complete(self, entry: ModelEntry) -> bool:
         """Tell whether an entry is here with all its adapters."""
-        held = self.loaded.get(entry.resident())
-        return held is not None and all(it.resident() in held.adapters for it in entry.adapters)
+        held = self.loaded.get(entry.resident_id())
+        return held is not None and all(it.resident_id() in held.adapters for it in entry.adapters)
 
     def update_adapters(self, entry: ModelEntry, goes: MayUnload) -> bool:
         """Bring a replica one adapter nearer to what its entry names; tell whether any changed.
 
         Replicas on a target take turns: each may take the room that another one needs.
         """
-        held = self.loaded[entry.resident()]
+        held = self.loaded[entry.resident_id()]
         before = dict(held.adapters)
-        missing = [item for item in entry.adapters if item.resident() not in held.adapters]
+        missing = [item for item in entry.adapters if item.resident_id() not in held.adapters]
         if missing and self._add_memory(held, missing[0].memory_mb):
-            held.adapters[missing[0].resident()] = missing[0].memory_mb
+            held.adapters[missing[0].resident_id()] = missing[0].memory_mb
         self._unload_replaced(held, entry, goes)
         if held.adapters == before:
             return False
@@ -92,9 +92,9 @@
         free_mb = list(self.bin.free_mb)
         for resident, held in self.loaded.items():
             entry = models.get(resident.rpartition("@")[0])
-            if entry is None or entry.resident() != resident:
+            if entry is None or entry.resident_id() != resident:
                 continue
-            missing = [item for item in entry.adapters if item.resident() not in held.adapters]
+            missing = [item for item in entry.adapters if item.resident_id() not in held.adapters]
             for index in held.accelerator_indexes:
                 free_mb[index] -= sum(item.memory_mb for item in missing)
         return free_mb
@@ -110,7 +110,7 @@
         return True
 
     def _unload_replaced(self, held: LoadedReplica, entry: ModelEntry, goes: MayUnload) -> None:
-        wanted = {item.resident(): item.name for item in entry.adapters}
+        wanted = {item.resident_id(): item.name for item in entry.adapters}
         replaced = {name for resident, name in wanted.items() if resident in held.adapters}
         for resident in held.adapters.keys() - wanted.keys():
             name = resident.rpartition("@")[0]
@@ -132,8 +132,8 @@
 
 
 def _loaded_replica(entry: ModelEntry, status: TargetStatus) -> LoadedReplica:
-    present = [item for item in entry.adapters if item.resident() in status.residents]
-    adapters = {item.resident(): item.memory_mb for item in present}
+    present = [item for item in entry.adapters if item.resident_id() in status.residents]
+    adapters = {item.resident_id(): item.memory_mb for item in present}
     guess_mb = entry.memory_mb + sum(adapters.values())
-    memory_mb = status.held_mb.get(entry.resident(), guess_mb)
+    memory_mb = status.held_mb.get(entry.resident_id(), guess_mb)
     return LoadedReplica((), entry.accelerators, memory_mb, adapters)
--- a/packages/coordination/src/mimosaspur_coordination/eviction.py
+++ b/packages/coordination/src/mimosaspur_coordination/eviction.py
@@ -139,7 +139,7 @@
         (models[name], replica)
         for name in draft.models_by_target.get(target, ())
         if name in models
-        for replica in draft.record(name).on(target)
+        for replica in draft.record(name).on_target(target)
     ]
     found.sort(key=lambda item: (Need.of(item[0]).size(), item[0].name), reverse=True)
     return found
--- a/packages/coordination/src/mimosaspur_coordination/fit.py
+++ b/packages/coordination/src/mimosaspur_coordination/fit.py
@@ -143,8 +143,8 @@
 
 
 def _added_adapters(old: ModelEntry, new: ModelEntry) -> Need | None:
-    held = {adapter.resident() for adapter in old.adapters}
-    added = [item.memory_mb for item in new.adapters if item.resident() not in held]
+    held = {adapter.resident_id() for adapter in old.adapters}
+    added = [item.memory_mb for item in new.adapters if item.resident_id() not in held]
     return Need(new.name, sum(added), new.accelerators, new.domains) if added else None
 
 
--- a/packages/coordination/src/mimosaspur_coordination/fleetview.py
+++ b/packages/coordination/src/mimosaspur_coordination/fleetview.py
@@ -14,8 +14,8 @@
 from mimosaspur_coordination.prefillspeed import prefill_ms
 from mimosaspur_coordination.targethealth import TargetHealth
 from mimosaspur_state.clock import Clock
+from mimosaspur_state.fleet import OutstandingWork
 from mimosaspur_state.fleet import TargetRecord
-from mimosaspur_state.fleet import Work
 
 # Bounds of what is learnt of an engine, beside what is learnt of its models.
 SLOWNESS_BOUNDS = (0.2, 8.0)
@@ -45,9 +45,9 @@
     paces: ModelPace = field(default_factory=ModelPace)
     # What is known of all engines of its kind.
     speed: PrefillSpeed = field(default_factory=PrefillSpeed)
-    own_work: Work = field(default_factory=Work)
+    own_work: OutstandingWork = field(default_factory=OutstandingWork)
     # What the other entries have there, as the coordinator last told.
-    others_work: Work = field(default_factory=Work)
+    others_work: OutstandingWork = field(default_factory=OutstandingWork)
     residents: Mapping[str, frozenset[str]] = field(default_factory=dict)
     # Models that are about to be unloaded.
     unloading: frozenset[str] = frozenset()
@@ -90,7 +90,7 @@
         queued = 0.0
         for work in (self.own_work, self.others_work):
             # What is less urgent is read later.
-            queued += sum(n for other, n in work.unread.items() if other <= rank)
+            queued += sum(n for other, n in work.prefill_tokens.items() if other <= rank)
         own_ms = prefill_ms(self.prefill_tokens(prompt))
         return self.speed.base_ms.value + (own_ms + self.speed.queue_ms(queued)) * self.slowness
 
@@ -98,7 +98,7 @@
         """Count a prompt that is sent; return the tokens counted as unread."""
         unread = self.prefill_tokens(prompt)
         self.own_work.requests += 1
-        self.own_work.unread[rank] = self.own_work.unread.get(rank, 0) + unread
+        self.own_work.prefill_tokens[rank] = self.own_work.prefill_tokens.get(rank, 0) + unread
         self.own_work.held_tokens += prompt.prompt_tokens + prompt.output_tokens
         self.own_work.by_model[prompt.model] = self.own_work.by_model.get(prompt.model, 0) + 1
         return unread
@@ -125,7 +125,7 @@
 
     def on_prefill_end(self, *, unread: float, rank: int) -> None:
         """Count a prompt as read, or as given up before it was."""
-        self.own_work.unread[rank] -= unread
+        self.own_work.prefill_tokens[rank] -= unread
 
     def on_end(self, prompt: Prompt) -> None:
         """Count a prompt that has ended."""
@@ -224,7 +224,7 @@
             if view.record.residents is not None:
                 view.residents = view.record.residents
             view.unloading = frozenset()
-            view.others_work = Work()
+            view.others_work = OutstandingWork()
 
     def prefill_speed(self, service: str) -> PrefillSpeed:
         """Return what is known of all engines of a service."""
