--- a/packages/coordination/src/mimosaspur_coordination/orders.py
+++ b/packages/coordination/src/mimosaspur_coordination/orders.py
@@ -32,7 +32,7 @@
 
     def adapter_ids(self) -> list[str]:
         """Return the engine's names for the adapters it must have."""
-        return [item.resident() for item in self.entry.adapters] if self.entry else []
+        return [item.resident_id() for item in self.entry.adapters] if self.entry else []
 
 
 @dataclass(slots=True, frozen=True)
@@ -57,7 +57,7 @@
     found = []
     for item, record in records:
         served = index.models.get(record.model)
-        for replica in record.on(target):
+        for replica in record.on_target(target):
             entry = served if served and served.version == replica.version else None
             found.append(Assignment(item, record, replica.version, replica.state, entry))
     return sorted(found, key=_priority_key)
@@ -65,7 +65,7 @@
 
 def is_complete(held: Assignment, report: EngineState) -> bool:
     """Tell whether a replica's base and all its adapters are ready."""
-    if held.entry is None or not report.ready(held.base_id()):
+    if held.entry is None or not report.is_ready(held.base_id()):
         return False
     return all(_is_adapter_ready(report, name, held.base_id()) for name in held.adapter_ids())
 
@@ -78,12 +78,12 @@
     if report.resident(held.base_id()) is None:
         headroom_mb = entry.total_mb() - entry.memory_mb
         return PlannedLoad(held.base_id(), None, entry.memory_mb, entry.accelerators, headroom_mb)
-    if not report.ready(held.base_id()) or _is_adapter_loading(report, held.base_id()):
+    if not report.is_ready(held.base_id()) or _is_adapter_loading(report, held.base_id()):
         return None
     for adapter in entry.adapters:
-        if report.resident(adapter.resident()) is None:
+        if report.resident(adapter.resident_id()) is None:
             return PlannedLoad(
-                adapter.resident(), held.base_id(), adapter.memory_mb, entry.accelerators
+                adapter.resident_id(), held.base_id(), adapter.memory_mb, entry.accelerators
             )
     return None
 
@@ -94,8 +94,8 @@
     for held in assignments:
         if held.entry is None or held.state is ReplicaState.LEAVING:
             continue
-        missing = [it for it in held.entry.adapters if not ledger.counts(it.resident())]
-        for index in ledger.accelerators(held.base_id()):
+        missing = [it for it in held.entry.adapters if not ledger.is_counted(it.resident_id())]
+        for index in ledger.accelerators_of(held.base_id()):
             promised[index] += sum(adapter.memory_mb for adapter in missing)
     return promised
 
@@ -159,16 +159,16 @@
     if served is None:
         return False
     if served.model.name == holder.entry.name:
-        return not report.ready(served.resident())
-    if any(held.base_id() == served.model.resident() for held in assignments):
+        return not report.is_ready(served.resident_id())
+    if any(held.base_id() == served.model.resident_id() for held in assignments):
         # A replica that was READY before the bundle changed loads its new adapters still.
-        return not report.ready(served.resident())
+        return not report.is_ready(served.resident_id())
     return served.model.name not in elsewhere
 
 
 def _is_adapter_ready(report: EngineState, name: str, base: str) -> bool:
     found = report.resident(name)
-    return found is not None and found.base == base and report.ready(name)
+    return found is not None and found.base == base and report.is_ready(name)
 
 
 def _is_adapter_loading(report: EngineState, base: str) -> bool:
--- a/packages/coordination/src/mimosaspur_coordination/planner.py
+++ b/packages/coordination/src/mimosaspur_coordination/planner.py
@@ -119,7 +119,7 @@
     targets = [item.target for item in record.replicas if item.target in draft.bins]
     domains = [draft.bins[target].domain for target in targets]
 
-    adapters = {adapter.resident() for adapter in entry.adapters}
+    adapters = {adapter.resident_id() for adapter in entry.adapters}
 
     def preference(room: Bin) -> tuple[bool, bool, int, int, str]:
         failed = (entry.name, room.target) in draft.view.failed_ms
@@ -191,7 +191,7 @@
         if not all(is_stable(draft.view, replica.target) for replica in good):
             continue
         lost = unserved_requests(draft.view, entry, good)
-        if lost > draft.view.move_cost and _replica_count(draft, entry) < entry.ceiling():
+        if lost > draft.view.move_cost and _replica_count(draft, entry) < entry.replica_limit():
             room = best_extra_target(draft, entry)
             if room and is_stable(draft.view, room.target):
                 draft.start_load(entry, room.target, f"{lost:.0f} requests a window find no place")
--- a/packages/coordination/src/mimosaspur_coordination/replicaremoval.py
+++ b/packages/coordination/src/mimosaspur_coordination/replicaremoval.py
@@ -65,7 +65,7 @@
     for adapter in former.adapters if former else ():
         served = draft.view.index.served.get(adapter.name)
         # An engine can't hold one resident twice: the same version waits until this one left.
-        if served is None or served.resident() == adapter.resident():
+        if served is None or served.resident_id() == adapter.resident_id():
             continue
         if not draft.up_to_date(served.model) and _can_add_replica(draft, served.model):
             return True
--- a/packages/coordination/src/mimosaspur_coordination/replicas.py
+++ b/packages/coordination/src/mimosaspur_coordination/replicas.py
@@ -84,7 +84,7 @@
 def _state_of(record: PlacementRecord | None, target: str, version: str) -> ReplicaState | None:
     if record is None:
         return None
-    for replica in record.on(target):
+    for replica in record.on_target(target):
         if replica.version == version:
             return replica.state
     return None
--- a/packages/coordination/src/mimosaspur_coordination/routing.py
+++ b/packages/coordination/src/mimosaspur_coordination/routing.py
@@ -6,7 +6,7 @@
 import xxhash
 
 from mimosaspur_coordination.hints import TargetHint
-from mimosaspur_state.bundle import Served
+from mimosaspur_state.bundle import ServedName
 from mimosaspur_state.placement import PlacementRecord
 from mimosaspur_state.placement import ReplicaState
 
@@ -23,12 +23,12 @@
 
 
 def candidates_for(
-    served: Served,
+    served: ServedName,
     record: PlacementRecord | None,
     hints: dict[str, TargetHint],
 ) -> list[Candidate]:
     """Return who may hold it: those with the wanted version, or else with the newest older one."""
-    wanted = served.resident()
+    wanted = served.resident_id()
     current: list[Candidate] = []
     older: list[Candidate] = []
     for hint in hints.values():
@@ -40,8 +40,10 @@
     return current or _newest_only(older, _placed_residents(served, record))
 
 
-def _held_resident(served: Served, record: PlacementRecord | None, hint: TargetHint) -> str | None:
-    wanted = served.resident()
+def _held_resident(
+    served: ServedName, record: PlacementRecord | None, hint: TargetHint
+) -> str | None:
+    wanted = served.resident_id()
     if wanted in hint.residents:
         return wanted
     placed = _placed_residents(served, record, hint.name)
@@ -66,7 +68,7 @@
 
 
 def _placed_residents(
-    served: Served, record: PlacementRecord | None, target: str = ""
+    served: ServedName, record: PlacementRecord | None, target: str = ""
 ) -> list[str]:
     """Return the residents by a record, of one target or all, the newest last.
 
@@ -81,9 +83,9 @@
     return [*(name for name in leaving if name not in ready), *ready]
 
 
-def _resident(served: Served, version: str) -> str | None:
+def _resident(served: ServedName, version: str) -> str | None:
     if version == served.model.version:
-        return served.resident()
+        return served.resident_id()
     # A record tells nothing of the versions of a model's adapters.
     return None if served.adapter else f"{served.model.name}@{version}"
 
--- a/packages/coordination/src/mimosaspur_coordination/serviceregistration.py
+++ b/packages/coordination/src/mimosaspur_coordination/serviceregistration.py
@@ -30,14 +30,14 @@
         self.store = store
         self.mirror = mirror
         self.region = region
-        self.key = keys.carrier(region, service)
+        self.key = keys.service_registration(region, service)
         self.service = service
         self.target = target
         self.first_versions: dict[str, int] = {}
 
     def is_registered(self) -> bool:
         """Tell whether the local copy of the record names this target."""
-        return bool(self._record().on(self.target))
+        return bool(self._record().on_target(self.target))
 
     def register(self) -> bool:
         """Name this target as ready; tell whether it is."""
@@ -54,7 +54,7 @@
     def deregister(self) -> bool:
         """Take this target off if a living one stays; tell whether it is off."""
         record = self._record()
-        if not record.on(self.target):
+        if not record.on_target(self.target):
             return True
         others = [replica for replica in record.ready() if replica.target != self.target]
         # A carrier that died stays on the record, since nobody else takes it off.
--- a/packages/coordination/src/mimosaspur_coordination/targetdirectory.py
+++ b/packages/coordination/src/mimosaspur_coordination/targetdirectory.py
@@ -14,7 +14,7 @@
 from mimosaspur_coordination.routing import Candidate
 from mimosaspur_coordination.routing import candidates_for
 from mimosaspur_state import keys
-from mimosaspur_state.bundle import Served
+from mimosaspur_state.bundle import ServedName
 from mimosaspur_state.instances import Instance
 from mimosaspur_state.objects import StoredObject
 from mimosaspur_state.placement import PlacementRecord
@@ -66,7 +66,7 @@
 
     def on_placement_change(self, item: StoredObject) -> bool:
         """Take in a record's change; tell whether it names a target that is new to us."""
-        ours = (keys.placements(self.region), keys.carriers(self.region))
+        ours = (keys.placements(self.region), keys.service_registrations(self.region))
         if item.value is None or not item.key.startswith(ours):
             return False
         try:
@@ -90,15 +90,15 @@
         with self.lock:
             self.unlisted.difference_update(names)
 
-    def for_model(self, served: Served) -> list[Candidate]:
+    def for_model(self, served: ServedName) -> list[Candidate]:
         """Return the targets that may hold a served model or adapter."""
         record = self.record(keys.placement(self.region, served.model.name))
         placed = {replica.target for replica in record.replicas} if record else set()
-        return candidates_for(served, record, self._hints_for(placed, served.resident()))
+        return candidates_for(served, record, self._hints_for(placed, served.resident_id()))
 
     def for_service(self, name: str) -> list[Candidate]:
         """Return the targets that carry a plain service."""
-        record = self.record(keys.carrier(self.region, name))
+        record = self.record(keys.service_registration(self.region, name))
         carrying = {replica.target for replica in record.ready()} if record else set()
         resident = service_resident(name)
         return [
--- a/packages/daemon/src/mimosaspur_daemon/attempts.py
+++ b/packages/daemon/src/mimosaspur_daemon/attempts.py
@@ -18,7 +18,7 @@
 
 DEFAULT_RETRY_MS = 1000
 # No caller waits longer than this for an answer to begin.
-REMEMBER_MS = 900_000
+DROPPED_ATTEMPT_TTL_MS = 900_000
 
 AttemptKey = tuple[str, int]
 
@@ -27,17 +27,23 @@
     """Hold one attempt's answer and send it over whichever connection is the newest."""
 
     def __init__(
-        self, submit: Submit, wire: Wire, clock: Clock, *, limit: int, connection: int = 0
+        self,
+        submit: Submit,
+        wire: Wire,
+        clock: Clock,
+        *,
+        max_answer_bytes: int,
+        connection_number: int = 0,
     ) -> None:
         self.submit = submit
         self.wire: Wire | None = wire
-        self.connection = connection
+        self.connection_number = connection_number
         self.clock = clock
-        self.limit = limit
+        self.max_answer_bytes = max_answer_bytes
         self.lock = threading.Lock()
         self.started: Started | None = None
         self.buffer = bytearray()
-        self.final: End | Failed | Refused | None = None
+        self.final_message: End | Failed | Refused | None = None
         self.ended_at_ms: int | None = None
         self.detached_at_ms: int | None = None
         self.cancelled = threading.Event()
@@ -49,25 +55,25 @@
             self.started = Started(request_id, attempt, status, content_type, replayed)
             self._send(self.started)
 
-    def add(self, data: bytes) -> None:
+    def append(self, data: bytes) -> None:
         """Add a piece; raise MimosaspurError when the answer grows over the limit."""
         request_id, attempt = self.key()
         with self.lock:
             offset = len(self.buffer)
-            if offset + len(data) > self.limit:
+            if offset + len(data) > self.max_answer_bytes:
                 raise MimosaspurError(
                     ResultCode.ANSWER_CUT,
-                    f"The answer is over {self.limit} bytes (target.answer_bytes).",
+                    f"The answer is over {self.max_answer_bytes} bytes (target.answer_bytes).",
                     outcome=Outcome.UNKNOWN,
                 )
             self.buffer += data
             self._send(Chunk(request_id, attempt, offset, data))
 
-    def end(self) -> None:
+    def finish(self) -> None:
         """Close the answer as whole."""
         request_id, attempt = self.key()
         with self.lock:
-            self._finish(End(request_id, attempt, len(self.buffer)))
+            self._set_final_message(End(request_id, attempt, len(self.buffer)))
 
     def fail(self, error: MimosaspurError) -> None:
         """Close the attempt with an error; one that was not run is refused."""
@@ -80,23 +86,23 @@
                 )
             else:
                 final = Failed(request_id, attempt, error.code, error.detail, error.outcome)
-            self._finish(final)
+            self._set_final_message(final)
 
-    def resume(self, wire: Wire, offset: int, *, connection: int) -> None:
+    def resume(self, wire: Wire, offset: int, *, connection_number: int) -> None:
         """Send what follows an offset over a new connection, and all that comes after."""
         with self.lock:
             # The task of an older connection may come late, when this process was paused.
-            if connection < self.connection:
+            if connection_number < self.connection_number:
                 return
-            self.connection = connection
+            self.connection_number = connection_number
             self.wire = wire
             self.detached_at_ms = None
             if self.started:
                 self._send(self.started)
             if offset < len(self.buffer):
                 self._send(Chunk(*self.key(), offset, bytes(self.buffer[offset:])))
-            if self.final:
-                self._send(self.final)
+            if self.final_message:
+                self._send(self.final_message)
 
     def detach(self, wire: Wire) -> None:
         """Note that a connection is gone."""
@@ -108,10 +114,10 @@
         """Return the request id and the attempt's number."""
         return self.submit.work.request_id, self.submit.attempt
 
-    def _finish(self, final: "End | Failed | Refused") -> None:
-        if self.final:
+    def _set_final_message(self, final: "End | Failed | Refused") -> None:
+        if self.final_message:
             return
-        self.final = final
+        self.final_message = final
         self.ended_at_ms = self.clock.now_ms()
         self._send(final)
 
@@ -131,12 +137,12 @@
 class AttemptRegistry:
     """Find attempts by request id and number, and let go of those nobody asks for."""
 
-    def __init__(self, clock: Clock, *, keep_ms: int) -> None:
+    def __init__(self, clock: Clock, *, retention_ms: int) -> None:
         self.clock = clock
-        self.keep_ms = keep_ms
+        self.retention_ms = retention_ms
         self.lock = threading.Lock()
         self.attempts: dict[AttemptKey, RunningAttempt] = {}
-        self.dropped: dict[AttemptKey, int] = {}
+        self.dropped_at_ms: dict[AttemptKey, int] = {}
 
     def add(self, attempt: RunningAttempt) -> bool:
         """Register an attempt; tell whether it is new."""
@@ -151,10 +157,10 @@
         with self.lock:
             return self.attempts.get(key)
 
-    def knew(self, key: AttemptKey) -> bool:
+    def was_dropped(self, key: AttemptKey) -> bool:
         """Tell whether an attempt was here that may have run and has been dropped."""
         with self.lock:
-            return key in self.dropped
+            return key in self.dropped_at_ms
 
     def release(self, attempt: RunningAttempt) -> None:
         """Let go of an ended attempt whose entry needs it no more."""
@@ -162,35 +168,35 @@
 
     def detach(self, wire: Wire) -> None:
         """Note that a connection is gone."""
-        for attempt in self._all():
+        for attempt in self._list_attempts():
             attempt.detach(wire)
 
     def sweep(self) -> None:
         """Drop ended attempts, and cancel those whose entry stayed away, after keep_ms."""
         now_ms = self.clock.now_ms()
-        for attempt in self._all():
+        for attempt in self._list_attempts():
             ended_ms = attempt.ended_at_ms
             detached_ms = attempt.detached_at_ms
-            if ended_ms is not None and now_ms - ended_ms > self.keep_ms:
+            if ended_ms is not None and now_ms - ended_ms > self.retention_ms:
                 self._drop(attempt, now_ms)
-            elif detached_ms is not None and now_ms - detached_ms > self.keep_ms:
+            elif detached_ms is not None and now_ms - detached_ms > self.retention_ms:
                 attempt.cancelled.set()
-        self._forget(now_ms)
+        self._expire_dropped(now_ms)
 
     def _drop(self, attempt: RunningAttempt, now_ms: int) -> None:
         with self.lock:
             self.attempts.pop(attempt.key(), None)
-            if not isinstance(attempt.final, Refused):
-                self.dropped[attempt.key()] = now_ms
+            if not isinstance(attempt.final_message, Refused):
+                self.dropped_at_ms[attempt.key()] = now_ms
 
-    def _forget(self, now_ms: int) -> None:
+    def _expire_dropped(self, now_ms: int) -> None:
         with self.lock:
             # The oldest come first.
-            for key, dropped_ms in list(self.dropped.items()):
-                if now_ms - dropped_ms <= REMEMBER_MS:
+            for key, dropped_ms in list(self.dropped_at_ms.items()):
+                if now_ms - dropped_ms <= DROPPED_ATTEMPT_TTL_MS:
                     return
-                del self.dropped[key]
+                del self.dropped_at_ms[key]
 
-    def _all(self) -> list[RunningAttempt]:
+    def _list_attempts(self) -> list[RunningAttempt]:
         with self.lock:
             return list(self.attempts.values())
--- a/packages/daemon/src/mimosaspur_daemon/direct/attempt.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/attempt.py
@@ -11,7 +11,7 @@
 from mimosaspur_daemon.direct.entrystate import LATE_RANK
 from mimosaspur_daemon.direct.evacuation import MovedRun
 from mimosaspur_daemon.direct.targetheaders import target_headers
-from mimosaspur_protocol.eventcut import EventMissing
+from mimosaspur_protocol.eventbuffer import EventMissing
 from mimosaspur_state.routes import RouteKind
 from mimosaspur_transport.dialect import end_to_end_headers
 from mimosaspur_transport.dialect import header
@@ -223,7 +223,7 @@
         journey = self.handler
         if not self._is_authentic(head):
             raise ChannelBroken("the answer is not the target's")
-        journey.cutter.restart()
+        journey.cutter.discard_incomplete()
         try:
             while (piece := await self._read_chunk()) is not None:
                 before = journey.cutter.last_id
@@ -240,8 +240,8 @@
             self.channel.close()
             return AttemptResult.MOVED
         await self._start_response(head)
-        if journey.cutter.begun:
-            await journey.caller.send_chunk(journey.cutter.begun)
+        if journey.cutter.incomplete:
+            await journey.caller.send_chunk(journey.cutter.incomplete)
         await journey.caller.end_response()
         self.view.health.record_success()
         lasted_ms = (asyncio.get_running_loop().time() - self.first_token_s) * 1000
--- a/packages/daemon/src/mimosaspur_daemon/direct/callers.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/callers.py
@@ -158,7 +158,7 @@
         configuration = self.state.configuration
         if configuration is None or not self.state.targets_known:
             raise RequestFailed(ResultCode.NO_BUNDLE, retry_after_s=NOT_READY_RETRY_S)
-        route = configuration.find(request.host, request.path)
+        route = configuration.find_route(request.host, request.path)
         if route is None:
             raise RequestFailed(ResultCode.NOT_FOUND)
         return route
--- a/packages/daemon/src/mimosaspur_daemon/direct/configurationexchange.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/configurationexchange.py
@@ -4,10 +4,10 @@
 from functools import singledispatchmethod
 
 from mimosaspur_daemon.direct.entrystate import EntryState
-from mimosaspur_protocol.configurations import decode_configuration
-from mimosaspur_protocol.configurations import encode_configuration
-from mimosaspur_protocol.peermessages import ConfigurationTold
-from mimosaspur_protocol.peermessages import ConfigurationWanted
+from mimosaspur_protocol.configurationcodec import decode_configuration
+from mimosaspur_protocol.configurationcodec import encode_configuration
+from mimosaspur_protocol.peermessages import ConfigurationRequest
+from mimosaspur_protocol.peermessages import EncodedConfiguration
 from mimosaspur_protocol.peermessages import PeerMessage
 from mimosaspur_protocol.peermessages import PeerProtocolError
 from mimosaspur_state.policy import Mechanism
@@ -31,7 +31,7 @@
         self.state = state
         self.requested_ms = NO_REQUEST_MS
         # The configuration in force, as it is told.
-        self.encoded: ConfigurationTold | None = None
+        self.encoded: EncodedConfiguration | None = None
 
     def on_version(self, version: int, link: PeerLink) -> None:
         """Ask a peer for the configuration that it has if that is newer."""
@@ -42,17 +42,17 @@
             return
         self.requested_ms = now_ms
         with contextlib.suppress(PeerLost):
-            link.send(ConfigurationWanted(self.state.version()))
+            link.send(ConfigurationRequest(self.state.version()))
 
     @singledispatchmethod
     def on_message(self, message: PeerMessage, link: PeerLink) -> None:
         """Take a peer's message if it is one about configurations."""
 
     @on_message.register
-    def _on_request(self, message: ConfigurationWanted, link: PeerLink) -> None:
+    def _on_request(self, message: ConfigurationRequest, link: PeerLink) -> None:
         """Tell a peer the configuration in force here if it knows an older one."""
         configuration = self.state.configuration
-        if configuration is None or configuration.version <= message.known:
+        if configuration is None or configuration.version <= message.known_version:
             return
         if self.encoded is None or self.encoded.version != configuration.version:
             self.encoded = encode_configuration(configuration)
@@ -60,7 +60,7 @@
             link.send(self.encoded)
 
     @on_message.register
-    def _on_configuration(self, message: ConfigurationTold, link: PeerLink) -> None:
+    def _on_configuration(self, message: EncodedConfiguration, link: PeerLink) -> None:
         """Put a peer's configuration in force if it is whole and newer."""
         self.requested_ms = NO_REQUEST_MS
         try:
--- a/packages/daemon/src/mimosaspur_daemon/direct/coordinator.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/coordinator.py
@@ -18,8 +18,8 @@
 from mimosaspur_daemon.direct.members import Member
 from mimosaspur_daemon.direct.members import Members
 from mimosaspur_protocol.peermessages import EntryReport
-from mimosaspur_protocol.peermessages import ProofAnswer
-from mimosaspur_protocol.peermessages import ProofRequest
+from mimosaspur_protocol.peermessages import LeaseReadReply
+from mimosaspur_protocol.peermessages import LeaseReadRequest
 from mimosaspur_protocol.peermessages import StepDown
 from mimosaspur_state.policy import Mechanism
 from mimosaspur_state.routes import EngineSpec
@@ -117,7 +117,7 @@
         try:
             while True:
                 message = await link.receive(timeout_ms=ENTRY_TIMEOUT_MS)
-                if isinstance(message, ProofAnswer):
+                if isinstance(message, LeaseReadReply):
                     self._apply_proof(message)
                 self.configuration_exchange.on_message(message, link)
                 if not isinstance(message, EntryReport):
@@ -127,7 +127,7 @@
                     self.required_proofs.add(message.instance)
                     self.changed.set()
                 self.apply_report(message, member)
-                self.configuration_exchange.on_version(message.version, link)
+                self.configuration_exchange.on_version(message.configuration_version, link)
         except PeerLost:
             pass
         finally:
@@ -138,10 +138,10 @@
     def apply_report(self, report: EntryReport, member: Member) -> None:
         """Take an entry's report."""
         self.members.apply_report(report, member)
-        for asked in report.asked:
+        for asked in report.model_demand:
             if asked.tokens:
                 self.demand.count(asked.model, asked.tokens, objective_ms=asked.objective_ms)
-        for asked_adapter in report.asked_adapters:
+        for asked_adapter in report.adapter_demand:
             self.adapters.demand.count(
                 asked_adapter.model, asked_adapter.adapter, asked_adapter.requests
             )
@@ -172,20 +172,22 @@
         One that reaches the store is enough; only when none does must all of them say so.
         """
         self.proofs = {asked_ms: set()}
-        self.members.send(ProofRequest(asked_ms), limit=None if everyone else PROOF_SAMPLE_COUNT)
+        self.members.send(
+            LeaseReadRequest(asked_ms), limit=None if everyone else PROOF_SAMPLE_COUNT
+        )
 
-    def _apply_proof(self, answer: ProofAnswer) -> None:
-        if answer.reached_store:
+    def _apply_proof(self, answer: LeaseReadReply) -> None:
+        if answer.store_reachable:
             self.lease.confirm_from_peer(
-                holder=answer.holder, token=answer.token, asked_ms=answer.asked_ms
+                holder=answer.holder, token=answer.token, asked_ms=answer.requested_ms
             )
             return
-        agreed = self.proofs.get(answer.asked_ms)
+        agreed = self.proofs.get(answer.requested_ms)
         if agreed is None:
             return
         agreed.add(answer.instance)
         if agreed >= self.required_proofs:
-            self.lease.extend_during_outage(asked_ms=answer.asked_ms)
+            self.lease.extend_during_outage(asked_ms=answer.requested_ms)
 
     def _run_round(self) -> None:
         self.engines.update()
@@ -206,9 +208,9 @@
             self._start_swap(swap)
             search = self._search(service, spec)
         begun = False
-        if self.state.uses(Mechanism.ADAPTERS_AHEAD):
+        if self.state.uses(Mechanism.ADAPTER_PRELOAD):
             begun = self.adapters.preload(spec, desks)
-        if not self.state.uses(Mechanism.COPIES):
+        if not self.state.uses(Mechanism.WEIGHT_COPIES):
             return
         if begun:
             search = self._search(service, spec)
@@ -242,11 +244,11 @@
             idle=self._idle(),
             preloaded=self.loaded_for_copy,
             stream_ms=self._stream_ms(service),
-            protect_last_copies=self.state.uses(Mechanism.LAST_COPY),
+            protect_last_copies=self.state.uses(Mechanism.KEEP_LAST_COPY),
         )
 
     def _stream_ms(self, service: str) -> float:
-        if not self.state.uses(Mechanism.UNLOAD_WAITS):
+        if not self.state.uses(Mechanism.UNLOAD_WAIT_ESTIMATE):
             return 0.0
         return self.state.fleet.prefill_speed(service).stream_ms.value
 
--- a/packages/daemon/src/mimosaspur_daemon/direct/election.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/election.py
@@ -14,11 +14,11 @@
 from mimosaspur_daemon.direct.entrystate import EntryState
 from mimosaspur_daemon.direct.fleetreport import apply_report
 from mimosaspur_protocol.peermessages import FleetReport
-from mimosaspur_protocol.peermessages import ProofAnswer
-from mimosaspur_protocol.peermessages import ProofRequest
-from mimosaspur_protocol.peermessages import ReportCounted
+from mimosaspur_protocol.peermessages import LeaseReadReply
+from mimosaspur_protocol.peermessages import LeaseReadRequest
+from mimosaspur_protocol.peermessages import ReportAck
 from mimosaspur_protocol.peermessages import StepDown
-from mimosaspur_state.clock import SuspendClock
+from mimosaspur_state.clock import BoottimeClock
 from mimosaspur_state.errors import StoreUnavailable
 from mimosaspur_state.errors import VersionConflict
 from mimosaspur_transport.peerlink import PeerLink
@@ -54,7 +54,7 @@
         settings = state.settings
         self.address = (settings.ip, settings.peer_port)
         self.lease = OrderLease(
-            settings.instance, handover_ms=settings.orders.handover_ms, clock=SuspendClock()
+            settings.instance, handover_ms=settings.orders.handover_ms, clock=BoottimeClock()
         )
         # This machine has given no order since then but those that the lease counts.
         self.started_ms = self.lease.clock.now_ms()
@@ -236,7 +236,7 @@
         try:
             while True:
                 message = await link.receive(timeout_ms=COORDINATOR_TIMEOUT_MS)
-                if isinstance(message, ProofRequest):
+                if isinstance(message, LeaseReadRequest):
                     await self._answer_proof_request(link, message)
                 if isinstance(message, StepDown):
                     self.predecessor_last_order_ms = (
@@ -244,17 +244,17 @@
                     )
                     self.predecessor_stepped_down = followed
                     return False
-                if isinstance(message, ReportCounted):
-                    self.state.reported_work.set_included(message.number)
-                    self.state.quotas.acknowledge(message.spent)
+                if isinstance(message, ReportAck):
+                    self.state.reported_work.set_included(message.work_report_number)
+                    self.state.quotas.acknowledge(message.quota_report_number)
                 self.configuration_exchange.on_message(message, link)
                 if isinstance(message, FleetReport):
                     followed = True
                     self.backoff.record_success()
                     self.predecessor_last_order_ms = None
                     apply_report(self.state, message)
-                    self.configuration_exchange.on_version(message.version, link)
-                    if not message.ordering:
+                    self.configuration_exchange.on_version(message.configuration_version, link)
+                    if not message.can_issue_orders:
                         return False
         except PeerLost as error:
             self.state.log.write("coordinator_lost", error=str(error))
@@ -266,14 +266,14 @@
             # the next coordinator is likely to be there before it isn't.
             self.state.on_coordinator_lost()
 
-    async def _answer_proof_request(self, link: PeerLink, request: ProofRequest) -> None:
+    async def _answer_proof_request(self, link: PeerLink, request: LeaseReadRequest) -> None:
         instance = self.state.settings.instance
-        answer = ProofAnswer(instance, request.asked_ms, False, "", 0)
+        answer = LeaseReadReply(instance, request.requested_ms, False, "", 0)
         with contextlib.suppress(StoreUnavailable, TimeoutError):
             async with asyncio.timeout(RENEWAL_TIMEOUT_S):
                 record = await self.state.dependencies.store.read_lease()
             holder, token = (record.holder, record.token) if record else ("", 0)
-            answer = ProofAnswer(instance, request.asked_ms, True, holder, token)
+            answer = LeaseReadReply(instance, request.requested_ms, True, holder, token)
         link.send(answer)
 
     async def _contend(self, token: int) -> None:
--- a/packages/daemon/src/mimosaspur_daemon/direct/entryreport.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/entryreport.py
@@ -3,11 +3,11 @@
 from mimosaspur_daemon.direct.entrystate import EntryState
 from mimosaspur_daemon.direct.entrystate import UnreportedDemand
 from mimosaspur_daemon.direct.fleetreport import pace_messages
-from mimosaspur_protocol.peermessages import AskedFor
-from mimosaspur_protocol.peermessages import AskedForAdapter
+from mimosaspur_protocol.peermessages import AdapterDemandUpdate
 from mimosaspur_protocol.peermessages import EntryReport
-from mimosaspur_protocol.peermessages import SpentOf
-from mimosaspur_protocol.peermessages import WorkAt
+from mimosaspur_protocol.peermessages import ModelDemandUpdate
+from mimosaspur_protocol.peermessages import QuotaSpending
+from mimosaspur_protocol.peermessages import TargetWork
 
 NO_DEMAND = UnreportedDemand()
 
@@ -15,10 +15,14 @@
 def build_entry_report(state: EntryState) -> EntryReport:
     """Return what the coordinator should know of an entry, and begin a new count of demand."""
     work = [
-        WorkAt(
+        TargetWork(
             identity,
             view.own_work.requests,
-            {rank: round(tokens) for rank, tokens in view.own_work.unread.items() if tokens >= 1},
+            {
+                rank: round(tokens)
+                for rank, tokens in view.own_work.prefill_tokens.items()
+                if tokens >= 1
+            },
             view.own_work.held_tokens,
             dict(view.own_work.by_model),
         )
@@ -28,13 +32,15 @@
     asked = []
     for model in {*state.unreported_demand, *state.waiting}:
         one = state.unreported_demand.get(model, NO_DEMAND)
-        asked.append(AskedFor(model, one.tokens, state.waiting.get(model, 0), one.objective_ms))
+        asked.append(
+            ModelDemandUpdate(model, one.tokens, state.waiting.get(model, 0), one.objective_ms)
+        )
     state.unreported_demand.clear()
     unreachable = sorted(state.unreachable)
     state.unreachable.clear()
     instance = state.settings.instance
     asked_adapters = [
-        AskedForAdapter(*key, n) for key, n in state.unreported_adapter_requests.items()
+        AdapterDemandUpdate(*key, n) for key, n in state.unreported_adapter_requests.items()
     ]
     state.unreported_adapter_requests.clear()
     waiting = list(state.waiting_adapters)
@@ -51,5 +57,5 @@
         pace_messages(state.fleet.paces.take_changes()),
         state.leaving,
         state.version(),
-        [SpentOf(each.workspace, each.spent, each.refused) for each in spendings],
+        [QuotaSpending(each.workspace, each.spent, each.refused) for each in spendings],
     )
--- a/packages/daemon/src/mimosaspur_daemon/direct/entrystate.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/entrystate.py
@@ -20,8 +20,8 @@
 from mimosaspur_coordination.workspaces.ranks import priority_of
 from mimosaspur_coordination.workspaces.ranks import rank_table
 from mimosaspur_daemon.direct.reportedwork import ReportedWork
+from mimosaspur_state.clock import BoottimeClock
 from mimosaspur_state.clock import Clock
-from mimosaspur_state.clock import SuspendClock
 from mimosaspur_state.directsettings import DirectSettings
 from mimosaspur_state.eventlog import EventLog
 from mimosaspur_state.fleet import TargetRecord
@@ -98,12 +98,12 @@
         self.fleet = FleetView(
             clock=self.clock,
             adaptive_pace=self.uses(Mechanism.MODEL_PACE),
-            adaptive_queue=self.uses(Mechanism.QUEUE_PART),
+            adaptive_queue=self.uses(Mechanism.QUEUE_RATIO),
         )
         self.pools: dict[str, ChannelPool] = {}
         self.retry_windows: dict[str, RetryWindow] = {}
         # This entry's part of the constants that bound repeats.
-        self.retry_share = ShareLease(window_ms=settings.retries.window_ms, clock=SuspendClock())
+        self.retry_share = ShareLease(window_ms=settings.retries.window_ms, clock=BoottimeClock())
         self.quotas = QuotaLimiter(settings.quotas, clock=self.clock)
         # Set once a coordinator has told what is left of quotas.
         self.quotas_received = asyncio.Event()
--- a/packages/daemon/src/mimosaspur_daemon/direct/evacuation.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/evacuation.py
@@ -94,8 +94,8 @@
             if not self._streams(view):
                 return None
             report = await self.state.dependencies.engines.report(view.record)
-            if report and report.gone_in_ms is not None:
-                return report.gone_in_ms
+            if report and report.terminates_in_ms is not None:
+                return report.terminates_in_ms
             # A report shows what held some hundred ms ago.
             await asyncio.sleep(REPORT_RETRY_DELAY_S)
         return None
--- a/packages/daemon/src/mimosaspur_daemon/direct/fleetchanges.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/fleetchanges.py
@@ -10,10 +10,10 @@
 from mimosaspur_daemon.direct.enginecontroller import EngineController
 from mimosaspur_daemon.direct.fleetreport import residents_of
 from mimosaspur_daemon.direct.storechanges import StoreChanges
+from mimosaspur_protocol.peermessages import EngineResidents
 from mimosaspur_protocol.peermessages import FleetReport
-from mimosaspur_protocol.peermessages import RemainingOf
-from mimosaspur_protocol.peermessages import Residents
-from mimosaspur_protocol.peermessages import WorkAt
+from mimosaspur_protocol.peermessages import QuotaRemaining
+from mimosaspur_protocol.peermessages import TargetWork
 from mimosaspur_protocol.peermessages import encode_peer
 
 NEVER_SENT = -1
@@ -35,15 +35,15 @@
     __slots__ = ("changed_residents", "changed_work", "expected_ms", "residents", "work")
 
     def __init__(self) -> None:
-        self.work: Mapping[str, WorkAt] = {}
-        self.residents: Mapping[str, Residents] = {}
+        self.work: Mapping[str, TargetWork] = {}
+        self.residents: Mapping[str, EngineResidents] = {}
         # Milliseconds until a model that is being loaded is expected.
         self.expected_ms: dict[str, int] = {}
-        self.changed_work: list[WorkAt] = []
-        self.changed_residents: list[Residents] = []
+        self.changed_work: list[TargetWork] = []
+        self.changed_residents: list[EngineResidents] = []
 
     def update(
-        self, totals: Mapping[str, WorkAt] | None, desks: Collection[EngineController]
+        self, totals: Mapping[str, TargetWork] | None, desks: Collection[EngineController]
     ) -> bool:
         """Take the fleet as it is now; tell whether anything has changed since the last look.
 
@@ -72,7 +72,7 @@
     # None while others may not rely on what is known of the store here.
     store_changes: StoreChanges | None
     # All that is left of quotas, for whoever was told nothing yet.
-    all_quotas: list[RemainingOf]
+    all_quotas: list[QuotaRemaining]
     frames: dict[tuple[bool, int], bytes] = field(default_factory=dict)
 
     def report(self, informed: SentState) -> FleetReport:
--- a/packages/daemon/src/mimosaspur_daemon/direct/fleetreport.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/fleetreport.py
@@ -8,10 +8,10 @@
 from mimosaspur_daemon.direct.enginecontroller import EngineController
 from mimosaspur_daemon.direct.entrystate import EntryState
 from mimosaspur_daemon.direct.storechanges import apply_store_changes
+from mimosaspur_protocol.peermessages import EngineResidents
 from mimosaspur_protocol.peermessages import FleetReport
-from mimosaspur_protocol.peermessages import PaceOf
-from mimosaspur_protocol.peermessages import Residents
-from mimosaspur_protocol.peermessages import WorkAt
+from mimosaspur_protocol.peermessages import ModelPaceUpdate
+from mimosaspur_protocol.peermessages import TargetWork
 
 
 class _WorkTotal:
@@ -24,17 +24,17 @@
         self.unread: dict[int, int] = {}
         self.held_tokens = 0
 
-    def add(self, work: WorkAt) -> None:
+    def add(self, work: TargetWork) -> None:
         """Add one entry's work."""
         self.requests += work.requests
         self.held_tokens += work.held_tokens
-        for rank, tokens in work.unread.items():
+        for rank, tokens in work.prefill_tokens.items():
             self.unread[rank] = self.unread.get(rank, 0) + tokens
 
 
 def total_work(
-    reports: Iterable[Mapping[str, WorkAt]], targets: Iterable[str]
-) -> dict[str, WorkAt]:
+    reports: Iterable[Mapping[str, TargetWork]], targets: Iterable[str]
+) -> dict[str, TargetWork]:
     """Sum up the entries' work by target; what has ended at a target is told as none."""
     totals = {target: _WorkTotal() for target in targets}
     for work_at in reports:
@@ -44,35 +44,35 @@
                 total = totals[target] = _WorkTotal()
             total.add(work)
     return {
-        target: WorkAt(target, total.requests, total.unread, total.held_tokens, {})
+        target: TargetWork(target, total.requests, total.unread, total.held_tokens, {})
         for target, total in totals.items()
     }
 
 
-def residents_of(desk: EngineController) -> Residents:
+def residents_of(desk: EngineController) -> EngineResidents:
     """Return what an engine holds, as entries are told it."""
     if desk.lost():
-        return Residents(desk.record.identity, {}, [])
+        return EngineResidents(desk.record.identity, {}, [])
     models = {model: sorted(adapters) for model, adapters in desk.residents.items()}
-    return Residents(desk.record.identity, models, sorted(desk.unloading))
+    return EngineResidents(desk.record.identity, models, sorted(desk.unloading))
 
 
-def pace_messages(paces: Mapping[str, Pace]) -> list[PaceOf]:
+def pace_messages(paces: Mapping[str, Pace]) -> list[ModelPaceUpdate]:
     """Return models' paces as they are told."""
-    return [PaceOf(model, pace.factor, pace.measurements) for model, pace in paces.items()]
+    return [ModelPaceUpdate(model, pace.factor, pace.measurements) for model, pace in paces.items()]
 
 
 def apply_report(state: EntryState, report: FleetReport) -> None:
     """Take the coordinator's report into an entry's picture of the fleet."""
-    if report.sharers != state.retry_share.sharers:
-        state.log.write("sharers", sharers=report.sharers, token=report.token)
-    state.retry_share.renew(report.sharers)
-    state.staying_entries = report.staying
-    state.freshness.record_version(report.version)
+    if report.sharer_count != state.retry_share.sharers:
+        state.log.write("sharers", sharers=report.sharer_count, token=report.token)
+    state.retry_share.renew(report.sharer_count)
+    state.staying_entries = report.staying_count
+    state.freshness.record_version(report.configuration_version)
     remaining = [
-        Remaining(told.workspace, told.content, told.asked_per_s) for told in report.quotas
+        Remaining(told.workspace, told.remaining, told.demand_per_s) for told in report.quotas
     ]
-    state.quotas.apply_update(remaining, entries=report.entries)
+    state.quotas.apply_update(remaining, entries=report.entry_count)
     state.quotas_received.set()
     if report.store:
         apply_store_changes(state, report.store)
@@ -82,9 +82,9 @@
             view.others_work = others
     for each in report.residents:
         models = {model: frozenset(adapters) for model, adapters in each.models.items()}
-        state.fleet.set_residents(each.target, models, frozenset(each.closing))
+        state.fleet.set_residents(each.target, models, frozenset(each.unloading))
     for told in report.paces:
         state.fleet.paces.apply_shared(told.model, Pace(told.factor, told.measurements))
-    state.model_ready_in_ms = report.expected
-    if report.work or report.residents or report.expected:
+    state.model_ready_in_ms = report.model_ready_in_ms
+    if report.work or report.residents or report.model_ready_in_ms:
         state.changes.notify()
--- a/packages/daemon/src/mimosaspur_daemon/direct/members.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/members.py
@@ -25,12 +25,12 @@
 from mimosaspur_daemon.direct.storechanges import StoreChanges
 from mimosaspur_protocol.peermessages import EntryReport
 from mimosaspur_protocol.peermessages import FleetReport
-from mimosaspur_protocol.peermessages import PaceOf
-from mimosaspur_protocol.peermessages import ProofRequest
-from mimosaspur_protocol.peermessages import RemainingOf
-from mimosaspur_protocol.peermessages import ReportCounted
+from mimosaspur_protocol.peermessages import LeaseReadRequest
+from mimosaspur_protocol.peermessages import ModelPaceUpdate
+from mimosaspur_protocol.peermessages import QuotaRemaining
+from mimosaspur_protocol.peermessages import ReportAck
 from mimosaspur_protocol.peermessages import StepDown
-from mimosaspur_protocol.peermessages import WorkAt
+from mimosaspur_protocol.peermessages import TargetWork
 from mimosaspur_protocol.peermessages import encode_peer
 from mimosaspur_transport.peerlink import PeerLink
 from mimosaspur_transport.peerlink import PeerLost
@@ -48,7 +48,7 @@
     # The number of its last report, and of the one that the sums of work count in.
     report_number: int = 0
     summed_number: int = 0
-    work: dict[str, WorkAt] = field(default_factory=dict)
+    work: dict[str, TargetWork] = field(default_factory=dict)
     waiting: dict[str, int] = field(default_factory=dict)
     waiting_adapters: list[tuple[str, str]] = field(default_factory=list)
     last_report_ms: int = 0
@@ -79,8 +79,10 @@
         first = not member.report_number
         member.report_number = report.number
         member.work = {work.target: work for work in report.work}
-        member.waiting = {asked.model: asked.waiting for asked in report.asked if asked.waiting}
-        member.waiting_adapters = [(model, adapter) for model, adapter in report.adapters]
+        member.waiting = {
+            asked.model: asked.waiting for asked in report.model_demand if asked.waiting
+        }
+        member.waiting_adapters = [(model, adapter) for model, adapter in report.waiting_adapters]
         member.leaving = report.leaving
         self.quotas.apply_report(report, first=first)
         for told in report.paces:
@@ -143,7 +145,7 @@
                     counts[model] = counts.get(model, 0) + count
         return running
 
-    def send(self, message: StepDown | ProofRequest, *, limit: int | None = None) -> None:
+    def send(self, message: StepDown | LeaseReadRequest, *, limit: int | None = None) -> None:
         """Send a message to the other entries, or to some that are drawn."""
         links = [member.link for member in self.members.values() if member.link]
         if limit is not None and limit < len(links):
@@ -175,7 +177,7 @@
             )
             self.work_due_ms = now_ms + round(pause_s * 1000)
 
-    def _sum_work(self) -> dict[str, WorkAt]:
+    def _sum_work(self) -> dict[str, TargetWork]:
         """Sum up the entries' work as they last reported it."""
         for member in self.members.values():
             member.summed_number = member.report_number
@@ -183,20 +185,20 @@
         return total_work(work, self.state.fleet.targets)
 
     def _base_report(
-        self, lease: OrderLease, paces: list[PaceOf], quotas: list[RemainingOf]
+        self, lease: OrderLease, paces: list[ModelPaceUpdate], quotas: list[QuotaRemaining]
     ) -> FleetReport:
         return FleetReport(
             token=lease.record.token if lease.record else 0,
-            ordering=lease.is_confirmed(),
-            entries=len(self.members),
+            can_issue_orders=lease.is_confirmed(),
+            entry_count=len(self.members),
             work=[],
             residents=[],
-            expected=self.fleet_changes.expected_ms,
+            model_ready_in_ms=self.fleet_changes.expected_ms,
             paces=paces,
-            staying=sum(not each.leaving for each in self.members.values()),
-            version=self.state.version(),
+            staying_count=sum(not each.leaving for each in self.members.values()),
+            configuration_version=self.state.version(),
             quotas=quotas,
-            sharers=self.sharers.sharer_count() if lease.is_confirmed() else 0,
+            sharer_count=self.sharers.sharer_count() if lease.is_confirmed() else 0,
         )
 
     def _shareable_store_changes(self) -> StoreChanges | None:
@@ -213,7 +215,7 @@
             and member.sent_state.store_number != news.store_changes.change_number
         )
 
-    def _due_paces(self, now_ms: int) -> list[PaceOf]:
+    def _due_paces(self, now_ms: int) -> list[ModelPaceUpdate]:
         if now_ms - self.paces_sent_ms < PACES_INTERVAL_MS:
             return []
         self.paces_sent_ms = now_ms
@@ -232,9 +234,9 @@
             apply_report(self.state, replace(news.report(member.sent_state), store=None))
             member.sent_state = news.state_after(member.sent_state)
             return 0
-        frames = encode_peer(
-            ReportCounted(member.summed_number, member.report_number)
-        ) + news.frame(member.sent_state)
+        frames = encode_peer(ReportAck(member.summed_number, member.report_number)) + news.frame(
+            member.sent_state
+        )
         try:
             member.link.send_encoded(frames)
         except PeerLost:
--- a/packages/daemon/src/mimosaspur_daemon/direct/quotaaccounting.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/quotaaccounting.py
@@ -7,7 +7,7 @@
 from mimosaspur_coordination.quota.spending import Spending
 from mimosaspur_daemon.direct.entrystate import EntryState
 from mimosaspur_protocol.peermessages import EntryReport
-from mimosaspur_protocol.peermessages import RemainingOf
+from mimosaspur_protocol.peermessages import QuotaRemaining
 
 # By then all entries follow a new coordinator that reach it.
 FOLLOW_GRACE_MS = 1_500
@@ -47,13 +47,13 @@
         silent_ms = self.state.clock.now_ms() - last_report_ms
         self.ledger.on_disconnect(instance, entries=entries, silent_ms=silent_ms)
 
-    def changed_remaining(self, members: int) -> list[RemainingOf]:
+    def changed_remaining(self, members: int) -> list[QuotaRemaining]:
         """Return what is left where entries expect another rest."""
         self._configure()
         self._reserve_for_missing(members)
         return _to_messages(self.ledger.take_updates())
 
-    def all_remaining(self) -> list[RemainingOf]:
+    def all_remaining(self) -> list[QuotaRemaining]:
         """Return what is left of all quotas."""
         return _to_messages(self.ledger.snapshot())
 
@@ -80,9 +80,9 @@
         self.expected_entries = 0
 
 
-def _to_messages(remaining: Iterable[Remaining]) -> list[RemainingOf]:
+def _to_messages(remaining: Iterable[Remaining]) -> list[QuotaRemaining]:
     # Fractions of a token are nobody's concern.
     return [
-        RemainingOf(each.workspace, round(each.content), round(each.asked_per_s))
+        QuotaRemaining(each.workspace, round(each.content), round(each.asked_per_s))
         for each in remaining
     ]
--- a/packages/daemon/src/mimosaspur_daemon/direct/reportedwork.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/reportedwork.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable
 from collections.abc import Mapping
 
-from mimosaspur_protocol.peermessages import WorkAt
-from mimosaspur_state.fleet import Work
+from mimosaspur_protocol.peermessages import TargetWork
+from mimosaspur_state.fleet import OutstandingWork
 
 # Reports that weren't counted yet, at ten and more a second: a coordinator that counts none for so
 # many has long been given up.
@@ -24,13 +24,13 @@
     def __init__(self) -> None:
         # Counts the reports.
         self.last_number = 0
-        self.pending_reports: deque[tuple[int, dict[str, WorkAt]]] = deque(
+        self.pending_reports: deque[tuple[int, dict[str, TargetWork]]] = deque(
             maxlen=MAX_PENDING_REPORTS
         )
         # All entries' work as it was last told.
-        self.totals: dict[str, WorkAt] = {}
+        self.totals: dict[str, TargetWork] = {}
         # This entry's part in it, and the report that it is from.
-        self.own_in_totals: Mapping[str, WorkAt] = {}
+        self.own_in_totals: Mapping[str, TargetWork] = {}
         self.included_number = 0
 
     def reset(self) -> None:
@@ -39,7 +39,7 @@
         self.totals = {}
         self.own_in_totals = {}
 
-    def add_report(self, work: Iterable[WorkAt]) -> int:
+    def add_report(self, work: Iterable[TargetWork]) -> int:
         """Keep a report that is sent now; return its number."""
         self.last_number += 1
         self.pending_reports.append((self.last_number, {each.target: each for each in work}))
@@ -49,7 +49,7 @@
         """Take note which report the sums that are told next count in."""
         self.included_number = number
 
-    def apply_totals(self, told: Iterable[WorkAt]) -> dict[str, Work]:
+    def apply_totals(self, told: Iterable[TargetWork]) -> dict[str, OutstandingWork]:
         """Take the sums that have changed; return the others' work where it may have changed."""
         changed = set(self.own_in_totals)
         for total in told:
@@ -60,16 +60,16 @@
         changed.update(self.own_in_totals)
         return {target: self.others_work_at(target) for target in changed}
 
-    def others_work_at(self, target: str) -> Work:
+    def others_work_at(self, target: str) -> OutstandingWork:
         """Return the others' work at a target."""
         total = self.totals.get(target)
         if total is None:
-            return Work()
-        unread: dict[int, float] = dict(total.unread)
+            return OutstandingWork()
+        unread: dict[int, float] = dict(total.prefill_tokens)
         own = self.own_in_totals.get(target)
         if own is None:
-            return Work(total.requests, unread, total.held_tokens)
-        for rank, tokens in own.unread.items():
+            return OutstandingWork(total.requests, unread, total.held_tokens)
+        for rank, tokens in own.prefill_tokens.items():
             unread[rank] = unread.get(rank, 0) - tokens
         requests = total.requests - own.requests
-        return Work(requests, unread, total.held_tokens - own.held_tokens)
+        return OutstandingWork(requests, unread, total.held_tokens - own.held_tokens)
--- a/packages/daemon/src/mimosaspur_daemon/direct/requesthandler.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/requesthandler.py
@@ -14,7 +14,7 @@
 from mimosaspur_daemon.direct.targetselector import FAILED_COOLDOWN_S
 from mimosaspur_daemon.direct.targetselector import NOT_RUN_COOLDOWN_S
 from mimosaspur_daemon.direct.targetselector import TargetSelector
-from mimosaspur_protocol.eventcut import EventCutter
+from mimosaspur_protocol.eventbuffer import EventBuffer
 from mimosaspur_state.codes import ResultCode
 from mimosaspur_state.policy import Mechanism
 from mimosaspur_state.routes import Route
@@ -107,7 +107,7 @@
             deadline_s=self.deadline_s,
         )
         last_id = header(request.headers, dialect.last_event_id) or b""
-        self.cutter = EventCutter(int(last_id) if last_id.isdigit() else None)
+        self.cutter = EventBuffer(int(last_id) if last_id.isdigit() else None)
         # Whether the caller has got the head of an answer.
         self.started = False
         self.retries = RequestRetries(
@@ -169,7 +169,7 @@
 
     def ends_in_time(self) -> bool:
         """Tell whether the request will surely end before this process does."""
-        if not self.state.uses(Mechanism.LEAVING_TAKES):
+        if not self.state.uses(Mechanism.ACCEPT_WHILE_LEAVING):
             return False
         if self.route.kind is RouteKind.STREAM and not self.state.is_last_entry():
             return False
--- a/packages/daemon/src/mimosaspur_daemon/direct/statusserver.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/statusserver.py
@@ -52,7 +52,7 @@
 
     def _answer(self, request: CallerRequest) -> tuple[int, bytes]:
         if request.path == METRICS_PATH:
-            return 200, self.state.log.counters.text().encode()
+            return 200, self.state.log.counters.render().encode()
         if request.path != self.state.dependencies.dialect.ready_path.decode():
             return 404, b""
         return (200 if self.state.ready() else 503), b""
--- a/packages/daemon/src/mimosaspur_daemon/direct/storechanges.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/storechanges.py
@@ -1,8 +1,8 @@
 """Tell entries what the coordinator reads in the store, and take it there."""
 
 from mimosaspur_daemon.direct.entrystate import EntryState
-from mimosaspur_protocol.peermessages import StoreNews
-from mimosaspur_protocol.peermessages import TargetTold
+from mimosaspur_protocol.peermessages import StoreUpdate
+from mimosaspur_protocol.peermessages import TargetRegistration
 from mimosaspur_state.fleet import TargetRecord
 from mimosaspur_state.policy import Mechanism
 
@@ -18,10 +18,10 @@
 
     def __init__(self, state: EntryState) -> None:
         self.state = state
-        self.targets: dict[str, TargetTold] = {}
+        self.targets: dict[str, TargetRegistration] = {}
         # Counts the changes; those of the last number are kept.
         self.change_number = 0
-        self.changed: list[TargetTold] = []
+        self.changed: list[TargetRegistration] = []
         self.removed: list[str] = []
 
     def update(self) -> None:
@@ -39,20 +39,20 @@
         on = self.state.uses(Mechanism.STORE_READER)
         return on and self.state.freshness.may_share((TARGETS, CONFIGURATION))
 
-    def changes_since(self, known: int) -> StoreNews:
+    def changes_since(self, known: int) -> StoreUpdate:
         """Return what somebody has to hear who knows all up to a number."""
         whole = known < self.change_number - 1
         current = known == self.change_number
-        return StoreNews(
+        return StoreUpdate(
             age_ms=self.state.freshness.age_ms((TARGETS, CONFIGURATION)),
             revision=self.state.fleet.revision,
-            whole=whole,
+            is_complete=whole,
             targets=list(self.targets.values()) if whole else [] if current else self.changed,
-            gone=[] if whole or current else self.removed,
+            removed=[] if whole or current else self.removed,
         )
 
 
-def apply_store_changes(state: EntryState, news: StoreNews) -> None:
+def apply_store_changes(state: EntryState, news: StoreUpdate) -> None:
     """Take the coordinator's word on the store, unless this entry knows better."""
     if news.revision < state.fleet.revision:
         return
@@ -60,14 +60,14 @@
     state.freshness.confirm_by_coordinator(age_ms=news.age_ms)
     state.fleet.revision = news.revision
     records = {told.identity: _to_record(told) for told in news.targets}
-    if news.whole:
+    if news.is_complete:
         state.on_targets_changed(state.fleet.replace(records))
-    elif records or news.gone:
-        state.on_targets_changed(state.fleet.update(records.values(), news.gone))
+    elif records or news.removed:
+        state.on_targets_changed(state.fleet.update(records.values(), news.removed))
 
 
-def _to_message(record: TargetRecord) -> TargetTold:
-    return TargetTold(
+def _to_message(record: TargetRecord) -> TargetRegistration:
+    return TargetRegistration(
         record.identity,
         record.service,
         *record.address,
@@ -78,7 +78,7 @@
     )
 
 
-def _to_record(told: TargetTold) -> TargetRecord:
+def _to_record(told: TargetRegistration) -> TargetRecord:
     return TargetRecord(
         identity=told.identity,
         service=told.service,
--- a/packages/daemon/src/mimosaspur_daemon/direct/targetselector.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/targetselector.py
@@ -172,7 +172,7 @@
         raise self.refusal(ResultCode.DEADLINE_UNREACHABLE, wanted_s=over_s + DEFAULT_RETRY_S)
 
     def _late_rank(self) -> int:
-        return LATE_RANK if self.state.uses(Mechanism.LATE_BEHIND) else self._rank()
+        return LATE_RANK if self.state.uses(Mechanism.DEMOTE_LATE) else self._rank()
 
     def _rank(self) -> int:
         return self.state.rank_of(self.route, self.workspace)
--- a/packages/daemon/src/mimosaspur_daemon/direct/trackedengine.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/trackedengine.py
@@ -265,7 +265,7 @@
             self.sequence_ms = now_ms
         self.busy = report.busy
         residents = {model: set(adapters) for model, adapters in report.residents.items()}
-        for model, adapter in report.coming_adapters:
+        for model, adapter in report.pending_adapters:
             # They take their places already, and are there before a request could be.
             residents.setdefault(model, set()).add(adapter)
         self.add_unreported(residents)
--- a/packages/daemon/src/mimosaspur_daemon/direct/workspacequota.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/workspacequota.py
@@ -35,7 +35,7 @@
     if route.public:
         return workspace
     age_ms = state.freshness.confirmation_age_ms(CONFIGURATION)
-    trusted_ms = state.settings.credentials_trusted_ms
+    trusted_ms = state.settings.credential_max_age_ms
     if workspace and (trusted_ms is None or age_ms <= trusted_ms):
         return workspace
     if digest and age_ms > state.settings.configuration_ms:
--- a/packages/daemon/src/mimosaspur_daemon/dispatcher.py
+++ b/packages/daemon/src/mimosaspur_daemon/dispatcher.py
@@ -13,13 +13,13 @@
 from mimosaspur_coordination.routing import Candidate
 from mimosaspur_coordination.routing import Router
 from mimosaspur_coordination.targetdirectory import TargetDirectory
-from mimosaspur_daemon.journey import DEFAULT_RETRY_MS
-from mimosaspur_daemon.journey import FINAL_REFUSALS
-from mimosaspur_daemon.journey import Journey
-from mimosaspur_daemon.journey import failure
-from mimosaspur_daemon.journey import refused
-from mimosaspur_daemon.journey import truthful
-from mimosaspur_daemon.links import Links
+from mimosaspur_daemon.linkpool import LinkPool
+from mimosaspur_daemon.requeststate import DEFAULT_RETRY_AFTER_MS
+from mimosaspur_daemon.requeststate import FINAL_REFUSALS
+from mimosaspur_daemon.requeststate import RequestState
+from mimosaspur_daemon.requeststate import correct_outcome
+from mimosaspur_daemon.requeststate import error_from_failure
+from mimosaspur_daemon.requeststate import error_from_refusal
 from mimosaspur_protocol.messages import Chunk
 from mimosaspur_protocol.messages import End
 from mimosaspur_protocol.messages import Failed
@@ -33,15 +33,15 @@
 from mimosaspur_state.codes import ResultCode
 from mimosaspur_state.errors import MimosaspurError
 from mimosaspur_state.metrics import Metrics
-from mimosaspur_state.requests import Kind
+from mimosaspur_state.requests import RequestKind
 from mimosaspur_state.requests import Work
 from mimosaspur_transport.attempt import Attempt
 from mimosaspur_transport.attempt import Event
 from mimosaspur_transport.targetlink import TargetLink
 
-GONE_POLL_S = 0.2
-CATCH_UP_S = 1.0
-READY_POLL_S = 0.1
+DISCONNECT_POLL_INTERVAL_S = 0.2
+GENERATION_WAIT_S = 1.0
+READY_POLL_INTERVAL_S = 0.1
 MAX_ATTEMPTS = 8
 
 
@@ -54,13 +54,13 @@
         holder: BundleHolder,
         directory: TargetDirectory,
         router: Router,
-        links: Links,
+        links: LinkPool,
         budget: RetryBudget,
         demand: DemandCounter,
         clock: Clock,
         metrics: Metrics,
         wait_ready_ms: int,
-        most_waiting: int,
+        max_waiting: int,
     ) -> None:
         self.holder = holder
         self.directory = directory
@@ -71,20 +71,20 @@
         self.clock = clock
         self.metrics = metrics
         self.wait_ready_ms = wait_ready_ms
-        self.waiters = threading.BoundedSemaphore(max(1, most_waiting))
+        self.waiting_slots = threading.BoundedSemaphore(max(1, max_waiting))
         self.stopping = False
 
     def dispatch(self, work: Work, deadline_ms: int, gone: Callable[[], bool]) -> Answer:
         """Have a request run and return its answer; raise MimosaspurError."""
         self.budget.record_request()
-        journey = Journey(work, Deadline(self.clock, deadline_ms), gone)
-        model = self._model_of(work)
+        journey = RequestState(work, Deadline(self.clock, deadline_ms), gone)
+        model = self._demand_name(work)
         self.demand.count_request(model)
         began_ms = self.clock.now_ms()
         try:
             answer = self._try_targets(journey)
         except MimosaspurError as found:
-            error = truthful(journey, found)
+            error = correct_outcome(journey, found)
             self.metrics.count(f"entry.result.{error.code.name.lower()}")
             if error.outcome is Outcome.NOT_RUN:
                 self.demand.count_refusal(model)
@@ -114,15 +114,15 @@
         """Tell whether callers may be sent here."""
         return self.holder.current() is not None and not self.stopping
 
-    def _index(self) -> BundleIndex:
+    def _require_index(self) -> BundleIndex:
         index = self.holder.current()
         if index is None:
-            raise MimosaspurError(ResultCode.NO_BUNDLE, retry_after_ms=DEFAULT_RETRY_MS)
+            raise MimosaspurError(ResultCode.NO_BUNDLE, retry_after_ms=DEFAULT_RETRY_AFTER_MS)
         return index
 
-    def _model_of(self, work: Work) -> str:
-        index = self._index()
-        if work.kind is Kind.SERVICE:
+    def _demand_name(self, work: Work) -> str:
+        index = self._require_index()
+        if work.kind is RequestKind.SERVICE:
             if work.name not in index.services:
                 raise MimosaspurError(ResultCode.UNKNOWN_SERVICE, f"It is {work.name!r}.")
             return work.name
@@ -132,31 +132,31 @@
         return served.model.name
 
     def _candidates(self, index: BundleIndex, work: Work) -> list[Candidate]:
-        if work.kind is Kind.SERVICE:
+        if work.kind is RequestKind.SERVICE:
             return self.directory.for_service(work.name)
         served = index.served.get(work.name)
         if served is None:
             raise MimosaspurError(ResultCode.UNKNOWN_MODEL, f"It is {work.name!r}.")
         return self.directory.for_model(served)
 
-    def _try_targets(self, journey: Journey) -> Answer:
+    def _try_targets(self, journey: RequestState) -> Answer:
         while True:
-            index = self._index()
+            index = self._require_index()
             candidate = self._choose(index, journey)
             if candidate is None:
                 self._wait_for_target(journey)
                 continue
-            link = self.links.to(candidate.hint)
+            link = self.links.get(candidate.hint)
             attempt = self._submit(journey, index, candidate, link)
             if attempt is None:
                 journey.tried.add(candidate.hint.name)
                 continue
-            answer = self._first_event(journey, attempt, link, candidate)
+            answer = self._await_answer(journey, attempt, link, candidate)
             if answer:
                 return answer
             self._check_retry(journey)
 
-    def _choose(self, index: BundleIndex, journey: Journey) -> Candidate | None:
+    def _choose(self, index: BundleIndex, journey: RequestState) -> Candidate | None:
         return self.router.choose(
             self._candidates(index, journey.work),
             tried=journey.tried,
@@ -164,46 +164,46 @@
             now_ms=self.clock.now_ms(),
         )
 
-    def _wait_for_target(self, journey: Journey) -> None:
+    def _wait_for_target(self, journey: RequestState) -> None:
         """Wait a little for a target to be ready; raise the refusal when that is over.
 
         A target that is replaced is back in a second: far less than a deadline mostly leaves.
         Few may wait at once, so that an unreachable model can't take the places of others.
         """
-        if journey.wait_end is None:
-            wait_ms = min(self.wait_ready_ms, journey.deadline.left_ms() // 2)
-            journey.wait_end = Deadline(self.clock, wait_ms)
-        if journey.wait_end.passed() or not journey.may_wait():
-            raise refused(journey)
-        if not self.waiters.acquire(blocking=False):
-            raise refused(journey)
+        if journey.wait_deadline is None:
+            wait_ms = min(self.wait_ready_ms, journey.deadline.remaining_ms() // 2)
+            journey.wait_deadline = Deadline(self.clock, wait_ms)
+        if journey.wait_deadline.has_passed() or not journey.can_wait_for_target():
+            raise error_from_refusal(journey)
+        if not self.waiting_slots.acquire(blocking=False):
+            raise error_from_refusal(journey)
         try:
-            threading.Event().wait(READY_POLL_S)
+            threading.Event().wait(READY_POLL_INTERVAL_S)
         finally:
-            self.waiters.release()
-        if journey.gone():
+            self.waiting_slots.release()
+        if journey.caller_disconnected():
             raise MimosaspurError(ResultCode.CANCELLED)
         journey.tried.clear()
 
     def _submit(
-        self, journey: Journey, index: BundleIndex, candidate: Candidate, link: TargetLink
+        self, journey: RequestState, index: BundleIndex, candidate: Candidate, link: TargetLink
     ) -> Attempt | None:
         journey.attempts += 1
-        left_ms = journey.deadline.left_ms()
+        left_ms = journey.deadline.remaining_ms()
         if left_ms == 0:
-            raise refused(journey, ResultCode.DEADLINE_UNREACHABLE)
+            raise error_from_refusal(journey, ResultCode.DEADLINE_UNREACHABLE)
         journey.generation = index.generation
         submit = Submit(
             journey.attempts, index.generation, left_ms, candidate.resident, journey.work
         )
         return link.submit(submit, wait_ms=min(left_ms, self.links.settings.connect_ms))
 
-    def _first_event(
-        self, journey: Journey, attempt: Attempt, link: TargetLink, candidate: Candidate
+    def _await_answer(
+        self, journey: RequestState, attempt: Attempt, link: TargetLink, candidate: Candidate
     ) -> Answer | None:
         """Return the answer once it has begun, or None when another target may be tried."""
         try:
-            event = self._next(journey, attempt)
+            event = self._next_event(journey, attempt)
             if isinstance(event, Started):
                 chunks = self._chunks(journey, attempt, link)
                 return Answer(event.status, event.content_type, event.replayed, chunks)
@@ -212,59 +212,63 @@
             raise
         link.finish(attempt)
         if isinstance(event, Refused):
-            self._note_refusal(journey, event, candidate)
+            self._record_refusal(journey, event, candidate)
             return None
         assert isinstance(event, Failed)
         journey.tried.add(candidate.hint.name)
         journey.may_have_run = True
         # A deadline that has passed here has passed everywhere.
         if not journey.work.idempotent or event.code is ResultCode.DEADLINE_PASSED:
-            raise failure(event)
+            raise error_from_failure(event)
         return None
 
-    def _note_refusal(self, journey: Journey, refusal: Refused, candidate: Candidate) -> None:
+    def _record_refusal(
+        self, journey: RequestState, refusal: Refused, candidate: Candidate
+    ) -> None:
         self.metrics.count(f"entry.refused.{refusal.code.name.lower()}")
         journey.last_refusal = refusal
         if refusal.code is ResultCode.STALE_GENERATION:
-            self.holder.wait_for(journey.generation + 1, CATCH_UP_S)
+            self.holder.wait_for(journey.generation + 1, GENERATION_WAIT_S)
             return
         if refusal.code is ResultCode.DRAINING:
             candidate.hint.draining = True
         known = journey.retry_after_ms
         journey.retry_after_ms = min(known or refusal.retry_after_ms, refusal.retry_after_ms)
         if refusal.code in FINAL_REFUSALS:
-            raise refused(journey)
-        if not self._may_hold_newer(refusal, candidate, journey):
+            raise error_from_refusal(journey)
+        if not self._may_have_newer_version(refusal, candidate, journey):
             journey.tried.add(candidate.hint.name)
 
-    def _may_hold_newer(self, refusal: Refused, candidate: Candidate, journey: Journey) -> bool:
+    def _may_have_newer_version(
+        self, refusal: Refused, candidate: Candidate, journey: RequestState
+    ) -> bool:
         """Tell whether a target refused only the older version that was asked of it."""
         index = self.holder.current()
         served = index.served.get(journey.work.name) if index else None
-        older = served is not None and served.resident() != candidate.resident
+        older = served is not None and served.resident_id() != candidate.resident
         return older and refusal.code is ResultCode.NOT_READY_HERE
 
-    def _check_retry(self, journey: Journey) -> None:
+    def _check_retry(self, journey: RequestState) -> None:
         refusal = journey.last_refusal
         # Being behind is nobody's load: it costs no retry of the budget.
         free = refusal is not None and refusal.code is ResultCode.STALE_GENERATION
         if journey.attempts >= MAX_ATTEMPTS or not (free or self.budget.try_spend()):
-            raise refused(journey, ResultCode.RETRIES_EXHAUSTED)
+            raise error_from_refusal(journey, ResultCode.RETRIES_EXHAUSTED)
 
-    def _next(self, journey: Journey, attempt: Attempt) -> Event:
+    def _next_event(self, journey: RequestState, attempt: Attempt) -> Event:
         while True:
             try:
-                return attempt.events.get(timeout=GONE_POLL_S)
+                return attempt.events.get(timeout=DISCONNECT_POLL_INTERVAL_S)
             except queue.Empty:
-                self._check_patience(journey)
+                self._check_cancelled_or_expired(journey)
 
-    def _check_patience(self, journey: Journey) -> None:
-        if journey.gone():
+    def _check_cancelled_or_expired(self, journey: RequestState) -> None:
+        if journey.caller_disconnected():
             raise MimosaspurError(ResultCode.CANCELLED, outcome=Outcome.UNKNOWN)
-        if journey.deadline.passed():
+        if journey.deadline.has_passed():
             raise MimosaspurError(ResultCode.DEADLINE_PASSED, outcome=Outcome.UNKNOWN)
 
-    def _chunks(self, journey: Journey, attempt: Attempt, link: TargetLink) -> Iterator[bytes]:
+    def _chunks(self, journey: RequestState, attempt: Attempt, link: TargetLink) -> Iterator[bytes]:
         try:
             while True:
                 event = self._next_chunk(journey, attempt)
@@ -273,14 +277,14 @@
                 elif isinstance(event, End):
                     return
                 elif isinstance(event, Failed):
-                    raise failure(event)
+                    raise error_from_failure(event)
         finally:
             link.finish(attempt)
 
-    def _next_chunk(self, journey: Journey, attempt: Attempt) -> Event:
+    def _next_chunk(self, journey: RequestState, attempt: Attempt) -> Event:
         while True:
             try:
-                return attempt.events.get(timeout=GONE_POLL_S)
+                return attempt.events.get(timeout=DISCONNECT_POLL_INTERVAL_S)
             except queue.Empty:
-                if journey.gone():
+                if journey.caller_disconnected():
                     raise MimosaspurError(ResultCode.CANCELLED, outcome=Outcome.UNKNOWN) from None
--- a/packages/daemon/src/mimosaspur_daemon/engine_orders.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_orders.py
@@ -19,16 +19,16 @@
 from mimosaspur_state.log import log
 
 PART = "ENGINE"
-FIRST_PAUSE_MS = 500
-LONGEST_PAUSE_MS = 10_000
+MIN_RETRY_DELAY_MS = 500
+MAX_RETRY_DELAY_MS = 10_000
 
 
 @dataclass(slots=True)
-class Retry:
+class RetryBackoff:
     """Say when an order that failed may be given again."""
 
-    pause_ms: int
-    at_ms: int
+    delay_ms: int
+    retry_at_ms: int
 
 
 class OrderSender:
@@ -36,30 +36,30 @@
 
     __slots__ = (
         "clock",
-        "ended",
+        "finished_orders",
         "engine",
         "fenced_out",
         "ledger",
-        "longest_pause_ms",
+        "max_pause_ms",
         "orders",
         "retries",
         "token",
     )
 
     def __init__(
-        self, engine: EnginePort, ledger: MemoryLedger, clock: Clock, *, longest_pause_ms: int
+        self, engine: EnginePort, ledger: MemoryLedger, clock: Clock, *, max_pause_ms: int
     ) -> None:
         self.engine = engine
         self.ledger = ledger
         self.clock = clock
-        self.longest_pause_ms = longest_pause_ms
+        self.max_pause_ms = max_pause_ms
         self.token = 0
         self.fenced_out = False
         self.orders: dict[str, EngineOrder] = {}
-        self.ended: set[str] = set()
-        self.retries: dict[str, Retry] = {}
+        self.finished_orders: set[str] = set()
+        self.retries: dict[str, RetryBackoff] = {}
 
-    def read(self) -> EngineState | None:
+    def read_report(self) -> EngineState | None:
         """Read the engine's report and settle the ledger by it; None when it didn't answer."""
         asked_at_ms = self.clock.now_ms()
         try:
@@ -67,14 +67,14 @@
         except EngineUnavailable as error:
             log(PART, "The engine did not report.", error=str(error))
             return None
-        for lost in self.ledger.settle(report, asked_at_ms=asked_at_ms):
+        for lost in self.ledger.apply_report(report, requested_at_ms=asked_at_ms):
             log(PART, "Gave an order up as lost.", order=lost.order_id, resident=lost.resident)
-        self._note_outcomes(report)
+        self._record_outcomes(report)
         return report
 
-    def fresh(self) -> bool:
+    def is_report_fresh(self) -> bool:
         """Tell whether the last report is young enough to order by; a pause makes it old."""
-        return self.clock.now_ms() - self.ledger.asked_at_ms <= self.longest_pause_ms
+        return self.clock.now_ms() - self.ledger.requested_at_ms <= self.max_pause_ms
 
     def fence(self) -> None:
         """Have the engine refuse every order with an older token."""
@@ -82,9 +82,9 @@
 
     def load(self, step: PlannedLoad, promised_mb: Sequence[int]) -> bool:
         """Order a load that fits, or repeat one whose outcome is unknown; tell if it was sent."""
-        if self._repeated(step.resident):
+        if self._resend_unsettled(step.resident):
             return True
-        if self._must_wait(step.resident):
+        if self._is_backing_off(step.resident):
             return False
         order_id = uuid.uuid4().hex
         chosen = self._reserve(order_id, step, promised_mb)
@@ -105,12 +105,12 @@
 
     def unload(self, resident: str) -> bool:
         """Order an unload, or repeat an order whose outcome is unknown; tell if it was sent."""
-        if self._repeated(resident):
+        if self._resend_unsettled(resident):
             return True
-        if self._must_wait(resident):
+        if self._is_backing_off(resident):
             return False
         order = EngineOrder(uuid.uuid4().hex, self.token, OrderKind.UNLOAD, resident)
-        self.ledger.hold_unload(order.order_id, resident, now_ms=self.clock.now_ms())
+        self.ledger.track_unload(order.order_id, resident, now_ms=self.clock.now_ms())
         self._send(order)
         return True
 
@@ -119,7 +119,7 @@
     ) -> tuple[int, ...] | None:
         now_ms = self.clock.now_ms()
         if step.base:
-            place = self.ledger.accelerators(step.base)
+            place = self.ledger.accelerators_of(step.base)
             return self.ledger.try_reserve_on(
                 order_id, step.resident, step.memory_mb, place, now_ms=now_ms
             )
@@ -133,17 +133,17 @@
             keep_free_mb=promised_mb,
         )
 
-    def _repeated(self, resident: str) -> bool:
-        held = self.ledger.unsettled(resident)
+    def _resend_unsettled(self, resident: str) -> bool:
+        held = self.ledger.unreported_order(resident)
         if held is None or held.order_id not in self.orders:
             return False
         # The same order is never done twice, so repeating it settles its outcome.
         self._send(self.orders[held.order_id])
         return True
 
-    def _must_wait(self, resident: str) -> bool:
+    def _is_backing_off(self, resident: str) -> bool:
         retry = self.retries.get(resident)
-        return retry is not None and self.clock.now_ms() < retry.at_ms
+        return retry is not None and self.clock.now_ms() < retry.retry_at_ms
 
     def _send(self, order: EngineOrder) -> None:
         if self.fenced_out:
@@ -164,36 +164,44 @@
             log(PART, "An order's outcome is unknown.", order=order.order_id, error=str(error))
         except OrderFenced as error:
             self.fenced_out = True
-            self.ledger.refused(order.order_id)
-            log(PART, "A successor owns the engine; giving no more orders.", newest=error.newest)
+            self.ledger.release_refused(order.order_id)
+            log(
+                PART,
+                "A successor owns the engine; giving no more orders.",
+                newest=error.newest_token,
+            )
         except OrderRefused as error:
-            self.ledger.refused(order.order_id)
-            self._pause(order.id)
+            self.ledger.release_refused(order.order_id)
+            self._back_off(order.id)
             log(PART, "The engine refused an order.", order=order.order_id, error=str(error))
-        self.ledger.sent(order.order_id, at_ms=self.clock.now_ms(), answered=answered)
+        self.ledger.record_send(order.order_id, at_ms=self.clock.now_ms(), answered=answered)
 
-    def _note_outcomes(self, report: EngineState) -> None:
+    def _record_outcomes(self, report: EngineState) -> None:
         for order_id, order in list(self.orders.items()):
             known = report.order(order_id)
-            if known and known.state is not OrderOutcome.RUNNING and order_id not in self.ended:
-                self.ended.add(order_id)
-                self._note_end(order, known)
+            if (
+                known
+                and known.state is not OrderOutcome.RUNNING
+                and order_id not in self.finished_orders
+            ):
+                self.finished_orders.add(order_id)
+                self._record_outcome(order, known)
             running = known is not None and known.state is OrderOutcome.RUNNING
-            if order_id not in self.ledger.held and not running:
+            if order_id not in self.ledger.pending and not running:
                 del self.orders[order_id]
-                self.ended.discard(order_id)
+                self.finished_orders.discard(order_id)
 
-    def _note_end(self, order: EngineOrder, known: OrderState) -> None:
+    def _record_outcome(self, order: EngineOrder, known: OrderState) -> None:
         if known.state is OrderOutcome.FAILED:
-            self._note_failure(order, known.detail)
+            self._record_failure(order, known.detail)
         else:
             self.retries.pop(order.id, None)
 
-    def _note_failure(self, order: EngineOrder, detail: str) -> None:
+    def _record_failure(self, order: EngineOrder, detail: str) -> None:
         log(PART, "An order failed.", order=order.order_id, resident=order.id, detail=detail)
-        self._pause(order.id)
+        self._back_off(order.id)
 
-    def _pause(self, resident: str) -> None:
+    def _back_off(self, resident: str) -> None:
         last = self.retries.get(resident)
-        pause_ms = min(2 * last.pause_ms, LONGEST_PAUSE_MS) if last else FIRST_PAUSE_MS
-        self.retries[resident] = Retry(pause_ms, self.clock.now_ms() + pause_ms)
+        pause_ms = min(2 * last.delay_ms, MAX_RETRY_DELAY_MS) if last else MIN_RETRY_DELAY_MS
+        self.retries[resident] = RetryBackoff(pause_ms, self.clock.now_ms() + pause_ms)
--- a/packages/daemon/src/mimosaspur_daemon/engine_situation.py
+++ b/packages/daemon/src/mimosaspur_daemon/engine_snapshot.py
@@ -17,11 +17,11 @@
 from mimosaspur_state.placement import PlacementRecord
 from mimosaspur_state.records import TargetStatus
 
-Records = tuple[tuple[StoredObject, PlacementRecord], ...]
+StoredRecords = tuple[tuple[StoredObject, PlacementRecord], ...]
 
 
 @dataclass(slots=True, frozen=True)
-class ServingSide:
+class ServingHooks:
     """Tell the requests on a resident, refuse new ones for it, and allow them again."""
 
     in_use: Callable[[str], int]
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Situation:
+class EngineSnapshot:
     """Hold what one round decides by."""
 
     report: EngineState
@@ -40,46 +40,57 @@
     unwanted: list[Resident]
 
 
-class Situations:
+class SnapshotBuilder:
     """Make a round's situation; what did not change since the last round is not worked out anew.
 
     A round comes several times a second, and a region's records are many and change seldom.
     """
 
-    __slots__ = ("asked", "cache", "index", "known", "last", "ready", "region", "target")
+    __slots__ = (
+        "stored_records",
+        "cache",
+        "index",
+        "records",
+        "last_snapshot",
+        "ready_models",
+        "region",
+        "target",
+    )
 
     def __init__(self, mirror: Mirror, *, region: str, target: str) -> None:
         self.cache = RecordCache(mirror)
         self.region = region
         self.target = target
         self.index: BundleIndex | None = None
-        self.asked: Records = ()
-        self.known: list[PlacementRecord] = []
-        self.ready: set[str] = set()
-        self.last: Situation | None = None
+        self.stored_records: StoredRecords = ()
+        self.records: list[PlacementRecord] = []
+        self.ready_models: set[str] = set()
+        self.last_snapshot: EngineSnapshot | None = None
 
-    def of(self, report: EngineState, index: BundleIndex) -> Situation:
+    def build(self, report: EngineState, index: BundleIndex) -> EngineSnapshot:
         """Compare an engine's report with what the records ask of its target."""
         asked = self.cache.readable(keys.placements(self.region))
-        if index is not self.index or asked is not self.asked:
+        if index is not self.index or asked is not self.stored_records:
             self.index = index
-            self.asked = asked
-            self.known = [record for _, record in asked]
-            self.ready = orders.ready_models(self.known, index)
-            self.last = None
-        if self.last is None or self.last.report != report:
+            self.stored_records = asked
+            self.records = [record for _, record in asked]
+            self.ready_models = orders.ready_models(self.records, index)
+            self.last_snapshot = None
+        if self.last_snapshot is None or self.last_snapshot.report != report:
             assignments = orders.assignments_on(asked, self.target, index)
-            unwanted = orders.unwanted_residents(assignments, report, index, self.ready)
-            self.last = Situation(report, index, self.known, assignments, unwanted)
-        return self.last
+            unwanted = orders.unwanted_residents(assignments, report, index, self.ready_models)
+            self.last_snapshot = EngineSnapshot(report, index, self.records, assignments, unwanted)
+        return self.last_snapshot
 
 
-def still_to_come(adapter: Resident, situation: Situation, store: ObjectStore, region: str) -> bool:
+def is_replacement_pending(
+    adapter: Resident, situation: EngineSnapshot, store: ObjectStore, region: str
+) -> bool:
     """Tell whether a model that takes an adapter over is not known to have it ready yet."""
     served = situation.index.served.get(adapter.id.rpartition("@")[0])
     if served is None or (adapter.base or "").startswith(f"{served.model.name}@"):
         return False
-    if any(held.base_id() == served.model.resident() for held in situation.assignments):
+    if any(held.base_id() == served.model.resident_id() for held in situation.assignments):
         # Decided by our engine's own report already.
         return False
     found = [record for record in situation.records if record.model == served.model.name]
@@ -90,4 +101,4 @@
     except StoreUnavailable:
         return True
     told = [TargetStatus.from_value(item.value).residents for item in statuses if item]
-    return not any(served.resident() in residents for residents in told)
+    return not any(served.resident_id() in residents for residents in told)
--- a/packages/daemon/src/mimosaspur_daemon/entryrole.py
+++ b/packages/daemon/src/mimosaspur_daemon/entryrole.py
@@ -12,8 +12,8 @@
 from mimosaspur_coordination.targetdirectory import TargetDirectory
 from mimosaspur_daemon.application import Application
 from mimosaspur_daemon.dispatcher import EntryDispatcher
-from mimosaspur_daemon.instancefollower import InstanceFollower
-from mimosaspur_daemon.links import Links
+from mimosaspur_daemon.instancelistpoller import InstanceListPoller
+from mimosaspur_daemon.linkpool import LinkPool
 from mimosaspur_daemon.platform import open_instance_list
 from mimosaspur_daemon.platform import open_store
 from mimosaspur_daemon.reports import DemandReporter
@@ -27,7 +27,7 @@
 
 STOP_GRACE_MS = 30_000
 # Of the requests in flight, one in this many may wait for a target to be ready.
-WAITING_SHARE = 4
+IN_FLIGHT_PER_WAITING_SLOT = 4
 
 
 class EntryRole:
@@ -42,7 +42,12 @@
         self.metrics = Metrics(settings.statsd, instance=settings.instance.name)
         self.holder = BundleHolder()
         region = settings.instance.region
-        prefixes = (keys.HEAD, keys.placements(region), keys.carriers(region), keys.DRAINS)
+        prefixes = (
+            keys.HEAD,
+            keys.placements(region),
+            keys.service_registrations(region),
+            keys.DRAINS,
+        )
         self.mirror = Mirror(
             self.store,
             prefixes,
@@ -54,7 +59,7 @@
         self.directory = TargetDirectory(self.mirror, region=region)
         self.mirror.listeners.append(self.directory.on_drain_change)
         self.demand = DemandCounter()
-        self.links = Links(
+        self.links = LinkPool(
             instance=settings.instance.name,
             incarnation=self.incarnation,
             settings=settings.peers,
@@ -62,7 +67,7 @@
             clock=clock,
             holder=self.holder,
         )
-        self.instances = InstanceFollower(
+        self.instances = InstanceListPoller(
             open_instance_list(settings, clock),
             self.directory,
             self.mirror,
@@ -70,11 +75,11 @@
             clock=clock,
             settings=settings.platform,
         )
-        self.mirror.listeners.append(self.instances.follow_records)
-        self.dispatcher = self._dispatcher()
+        self.mirror.listeners.append(self.instances.on_placement_change)
+        self.dispatcher = self._create_dispatcher()
         self.server = CallerServer(settings.entry, self.dispatcher, clock, self.metrics)
         self.shutting_down = False
-        self.mirror.listeners.append(self.follow_drain)
+        self.mirror.listeners.append(self.on_drain_change)
 
     def start(self, app: Application) -> str:
         """Start all tasks; return the address that callers reach."""
@@ -96,12 +101,12 @@
         self.server.stop(STOP_GRACE_MS)
         self.links.stop()
 
-    def follow_drain(self, item: StoredObject) -> None:
+    def on_drain_change(self, item: StoredObject) -> None:
         """Have the balancer send no callers here while an operator's order to leave stands."""
         if item.key == keys.drain(self.settings.instance.name):
             self.dispatcher.stopping = self.shutting_down or item.value is not None
 
-    def _dispatcher(self) -> EntryDispatcher:
+    def _create_dispatcher(self) -> EntryDispatcher:
         entry = self.settings.entry
         assert entry is not None
         naive = self.settings.policy is Policy.NAIVE
@@ -120,15 +125,15 @@
             clock=self.clock,
             metrics=self.metrics,
             wait_ready_ms=0 if naive else entry.wait_ready_ms,
-            most_waiting=entry.max_in_flight // WAITING_SHARE,
+            max_waiting=entry.max_in_flight // IN_FLIGHT_PER_WAITING_SLOT,
         )
 
     def _start_planner(self, app: Application) -> None:
         # Only an entry that may plan pays for the planner's code.
         from mimosaspur_coordination.claimsweep import ClaimSweep
-        from mimosaspur_daemon.planner_duty import PlannerDuty
+        from mimosaspur_daemon.leased_planner import LeasedPlanner
 
-        duty = PlannerDuty(
+        duty = LeasedPlanner(
             self.store,
             self.settings,
             self.incarnation,
@@ -142,6 +147,6 @@
             self.clock,
             retention_ms=self.settings.planner.claim_keep_ms,
             page_size=self.settings.planner.claims_swept_per_second,
-            holds_lease=lambda: duty.holds,
+            holds_lease=lambda: duty.holds_lease,
         )
         app.spawn("claimsweep", sweep.run)
--- a/packages/daemon/src/mimosaspur_daemon/instancefollower.py
+++ b/packages/daemon/src/mimosaspur_daemon/instancelistpoller.py
@@ -6,7 +6,7 @@
 from mimosaspur_coordination.listreadlimiter import ListReadLimiter
 from mimosaspur_coordination.mirror import Mirror
 from mimosaspur_coordination.targetdirectory import TargetDirectory
-from mimosaspur_daemon.links import Links
+from mimosaspur_daemon.linkpool import LinkPool
 from mimosaspur_state.clock import Clock
 from mimosaspur_state.errors import StoreUnavailable
 from mimosaspur_state.log import log
@@ -17,10 +17,10 @@
 PART = "ENTRY"
 MS_PER_SECOND = 1000
 # An entry that starts in an outage asks this many targets for the bundle and what they hold.
-ASKED_IN_OUTAGE = 64
+MAX_OUTAGE_CONNECTS = 64
 
 
-class InstanceFollower:
+class InstanceListPoller:
     """Read the instance list as often as its size allows; one task runs `run`."""
 
     def __init__(
@@ -28,7 +28,7 @@
         instance_list: InstanceListClient,
         directory: TargetDirectory,
         mirror: Mirror,
-        links: Links,
+        links: LinkPool,
         *,
         clock: Clock,
         settings: PlatformSettings,
@@ -38,14 +38,14 @@
         self.mirror = mirror
         self.links = links
         self.clock = clock
-        self.pause_ms = settings.instance_list_ms
-        self.pace = ListReadLimiter(
+        self.poll_interval_ms = settings.instance_list_ms
+        self.read_limiter = ListReadLimiter(
             interval_ms=settings.instance_list_ms,
             bytes_per_second=settings.instance_list_bytes_per_second,
         )
         self.wake = threading.Event()
 
-    def follow_records(self, item: StoredObject) -> None:
+    def on_placement_change(self, item: StoredObject) -> None:
         """Look sooner when a record names a target that is not known here."""
         if self.directory.on_placement_change(item):
             self.wake.set()
@@ -53,28 +53,30 @@
     def run(self, stop: threading.Event) -> None:
         """Go round until told to stop; it ends within a pause."""
         while not stop.is_set():
-            if self.pace.is_due(self.clock.now_ms(), self.directory.unresolved_targets()):
-                self._read()
+            if self.read_limiter.is_due(self.clock.now_ms(), self.directory.unresolved_targets()):
+                self._read_list()
             # The list may be down together with the object API: the targets known so far remain.
             if not self.mirror.reachable:
-                self._ask_targets()
-            self.wake.wait(self.pause_ms / MS_PER_SECOND)
+                self._connect_to_targets()
+            self.wake.wait(self.poll_interval_ms / MS_PER_SECOND)
             self.wake.clear()
 
-    def _read(self) -> None:
+    def _read_list(self) -> None:
         try:
             instances = self.instance_list.instances()
         except StoreUnavailable as error:
             log(PART, "Could not read the instance list.", error=str(error))
-            self.pace.record_failure(self.clock.now_ms())
+            self.read_limiter.record_failure(self.clock.now_ms())
             return
         self.directory.update(instances)
         size_bytes = self.instance_list.size_bytes
-        self.pace.record_read(self.clock.now_ms(), size_bytes, self.directory.unresolved_targets())
-        self.directory.stop_resolving(self.pace.exhausted())
+        self.read_limiter.record_read(
+            self.clock.now_ms(), size_bytes, self.directory.unresolved_targets()
+        )
+        self.directory.stop_resolving(self.read_limiter.exhausted())
 
-    def _ask_targets(self) -> None:
+    def _connect_to_targets(self) -> None:
         hints = list(self.directory.hints.values())
         random.shuffle(hints)
-        for hint in hints[:ASKED_IN_OUTAGE]:
-            self.links.to(hint).connect_in_background()
+        for hint in hints[:MAX_OUTAGE_CONNECTS]:
+            self.links.get(hint).connect_in_background()
--- a/packages/daemon/src/mimosaspur_daemon/links.py
+++ b/packages/daemon/src/mimosaspur_daemon/linkpool.py
@@ -9,7 +9,7 @@
 from mimosaspur_transport.targetlink import TargetLink
 
 
-class Links:
+class LinkPool:
     """Give the link to a target; a target at a new address gets a new link."""
 
     def __init__(
@@ -31,12 +31,12 @@
         self.lock = threading.Lock()
         self.links: dict[str, TargetLink] = {}
 
-    def to(self, hint: TargetHint) -> TargetLink:
+    def get(self, hint: TargetHint) -> TargetLink:
         """Return the link to a target, not connected yet if it is new."""
         with self.lock:
             link = self.links.get(hint.name)
             if link is None or link.hint is not hint:
-                link = self._make(hint)
+                link = self._create(hint)
                 self.links[hint.name] = link
             return link
 
@@ -47,7 +47,7 @@
         for link in links:
             link.stop()
 
-    def _make(self, hint: TargetHint) -> TargetLink:
+    def _create(self, hint: TargetHint) -> TargetLink:
         return TargetLink(
             hint,
             instance=self.instance,
--- a/packages/daemon/src/mimosaspur_daemon/planner_watch.py
+++ b/packages/daemon/src/mimosaspur_daemon/planner_view_builder.py
@@ -22,31 +22,31 @@
 from mimosaspur_state.settings import Settings
 from mimosaspur_state.settings import TargetKind
 
-ENGINE_SILENT = 0
+NO_ENGINE_VERSION = 0
 
 
 @dataclass(slots=True)
-class Beats:
+class ChangeTracker:
     """Remember when each object was last seen to change, on our own clock."""
 
     grace_ms: int
-    seen: dict[str, tuple[int, int]] = field(default_factory=dict)
+    last_changes: dict[str, tuple[int, int]] = field(default_factory=dict)
 
-    def alive(self, key: str, version: int, now_ms: int) -> bool:
+    def observe(self, key: str, version: int, now_ms: int) -> bool:
         """Note an object's version; tell whether it changed within the grace."""
-        known = self.seen.get(key)
+        known = self.last_changes.get(key)
         if known is None or known[0] != version:
-            self.seen[key] = (version, now_ms)
+            self.last_changes[key] = (version, now_ms)
             return True
         return now_ms - known[1] < self.grace_ms
 
-    def still_ms(self, key: str, now_ms: int) -> int:
+    def unchanged_ms(self, key: str, now_ms: int) -> int:
         """Return for how long an object has not changed, 0 if it was never looked at."""
-        known = self.seen.get(key)
+        known = self.last_changes.get(key)
         return now_ms - known[1] if known else 0
 
 
-class PlannerWatch:
+class PlannerViewBuilder:
     """Follow a region while we plan it; a new one gives every target the full grace."""
 
     def __init__(
@@ -62,31 +62,31 @@
         self.region = settings.instance.region
         self.load_timeout_ms = settings.planner.load_timeout_ms
         self.service_time_ms = service_time_ms
-        self.statuses = Beats(settings.planner.status_grace_ms)
-        self.reports = Beats(settings.planner.demand_window_ms)
-        self.low = LowDemandCounter()
-        self.replicas: set[Replica] | None = None
+        self.status_changes = ChangeTracker(settings.planner.status_grace_ms)
+        self.report_changes = ChangeTracker(settings.planner.demand_window_ms)
+        self.low_demand = LowDemandCounter()
+        self.previous_replicas: set[Replica] | None = None
         self.changed_ms: dict[str, int] = {}
         self.loading_since_ms: dict[LoadKey, int] = {}
         self.failed_ms: dict[tuple[str, str], int] = {}
-        self.former: dict[str, ModelEntry] = {}
+        self.former_entries: dict[str, ModelEntry] = {}
 
-    def view(self, index: BundleIndex, now_ms: int) -> PlannerView:
+    def build(self, index: BundleIndex, now_ms: int) -> PlannerView:
         """Return this moment's view."""
-        self.former.update({entry.resident(): entry for entry in index.models.values()})
+        self.former_entries.update({entry.resident_id(): entry for entry in index.models.values()})
         placed = self._placed()
-        self._note_changes(placed, now_ms)
-        self._note_loads(placed, now_ms)
-        alive = self._alive(now_ms)
+        self._record_changes(placed, now_ms)
+        self._record_loads(placed, now_ms)
+        alive = self._alive_targets(now_ms)
         planner = self.settings.planner
         view = PlannerView(
             index=index,
             placed=placed,
             alive=alive,
             now_ms=now_ms,
-            draining=self._draining(alive),
-            former_entries=self.former,
-            demand=sum_reports(self._reports(now_ms), planner.demand_window_ms),
+            draining=self._draining_targets(alive),
+            former_entries=self.former_entries,
+            demand=sum_reports(self._current_reports(now_ms), planner.demand_window_ms),
             changed_ms=self.changed_ms,
             loading_since_ms=self.loading_since_ms,
             failed_ms=self.failed_ms,
@@ -96,21 +96,21 @@
             service_time_ms=self._service_time_ms(alive),
             load_timeout_ms=self.load_timeout_ms,
         )
-        view.low_windows = self.low.update(view)
+        view.low_windows = self.low_demand.update(view)
         return view
 
-    def forgotten(self, now_ms: int) -> list[StoredObject]:
+    def expired_reports(self, now_ms: int) -> list[StoredObject]:
         """Return the reports of instances that have been gone for long."""
         limit_ms = self.settings.planner.forget_ms
         kept = (
-            (keys.statuses(self.region), self.statuses),
-            (keys.demands(self.region), self.reports),
+            (keys.statuses(self.region), self.status_changes),
+            (keys.demands(self.region), self.report_changes),
         )
         return [
             item
             for prefix, beats in kept
             for item in self.mirror.list_prefix(prefix)
-            if beats.still_ms(item.key, now_ms) >= limit_ms
+            if beats.unchanged_ms(item.key, now_ms) >= limit_ms
         ]
 
     def _service_time_ms(self, alive: dict[str, TargetStatus]) -> int:
@@ -121,37 +121,37 @@
         found = self.records.all(keys.placements(self.region))
         return {record.model: Placed(record, item.version) for item, record in found}
 
-    def _alive(self, now_ms: int) -> dict[str, TargetStatus]:
+    def _alive_targets(self, now_ms: int) -> dict[str, TargetStatus]:
         alive = {}
         for item in self.mirror.list_prefix(keys.statuses(self.region)):
             status = TargetStatus.from_value(item.value)
             # Beats of a target whose engine is silent don't count: what it held is lost too.
-            version = item.version if _has_engine_or_service(status) else ENGINE_SILENT
-            if self.statuses.alive(item.key, version, now_ms):
+            version = item.version if _has_engine_or_service(status) else NO_ENGINE_VERSION
+            if self.status_changes.observe(item.key, version, now_ms):
                 alive[status.instance] = status
         return alive
 
-    def _draining(self, alive: dict[str, TargetStatus]) -> frozenset[str]:
+    def _draining_targets(self, alive: dict[str, TargetStatus]) -> frozenset[str]:
         said = {name for name, status in alive.items() if status.draining}
         ordered = {name for name in alive if self.mirror.get(keys.drain(name))}
         return frozenset(said | ordered)
 
-    def _reports(self, now_ms: int) -> list[DemandReport]:
+    def _current_reports(self, now_ms: int) -> list[DemandReport]:
         found = self.mirror.list_prefix(keys.demands(self.region))
         return [
             DemandReport.from_value(item.value)
             for item in found
-            if self.reports.alive(item.key, item.version, now_ms)
+            if self.report_changes.observe(item.key, item.version, now_ms)
         ]
 
-    def _note_changes(self, placed: dict[str, Placed], now_ms: int) -> None:
+    def _record_changes(self, placed: dict[str, Placed], now_ms: int) -> None:
         replicas = {replica for item in placed.values() for replica in item.record.replicas}
-        if self.replicas is not None:
-            for replica in replicas ^ self.replicas:
+        if self.previous_replicas is not None:
+            for replica in replicas ^ self.previous_replicas:
                 self.changed_ms[replica.target] = now_ms
-        self.replicas = replicas
+        self.previous_replicas = replicas
 
-    def _note_loads(self, placed: dict[str, Placed], now_ms: int) -> None:
+    def _record_loads(self, placed: dict[str, Placed], now_ms: int) -> None:
         loading = {
             (name, replica.target, replica.version)
             for name, item in placed.items()
--- a/packages/daemon/src/mimosaspur_daemon/reports.py
+++ b/packages/daemon/src/mimosaspur_daemon/reports.py
@@ -7,7 +7,7 @@
 
 from mimosaspur_coordination.demandcounter import BUCKET_COUNT
 from mimosaspur_coordination.demandcounter import DemandCounter
-from mimosaspur_daemon.ownrecord import OwnRecord
+from mimosaspur_daemon.singlewriterrecord import SingleWriterRecord
 from mimosaspur_state import keys
 from mimosaspur_state.objects import ObjectStore
 from mimosaspur_state.records import DemandReport
@@ -15,7 +15,7 @@
 from mimosaspur_state.settings import Settings
 
 # How often a target looks at whether its status has changed.
-LOOK_S = 0.5
+STATUS_CHECK_INTERVAL_S = 0.5
 
 
 class DemandReporter:
@@ -25,7 +25,7 @@
         self.settings = settings
         self.demand = demand
         key = keys.demand(settings.instance.region, settings.instance.name)
-        self.record = OwnRecord(store, key)
+        self.record = SingleWriterRecord(store, key)
 
     def run(self, stop: threading.Event) -> None:
         """Report until told to stop."""
@@ -40,7 +40,7 @@
                 self.demand.rotate()
             models = self.demand.totals()
             report = DemandReport(self.settings.instance.name, window_ms, models, beat)
-            if models != told and self.record.write(report):
+            if models != told and self.record.try_write(report):
                 told = models
 
 
@@ -48,16 +48,16 @@
     """Write a target's status on change and as a sign of life."""
 
     def __init__(
-        self, store: ObjectStore, settings: Settings, make: Callable[[int], TargetStatus]
+        self, store: ObjectStore, settings: Settings, build_status: Callable[[int], TargetStatus]
     ) -> None:
-        self.make = make
+        self.build_status = build_status
         assert settings.target is not None
         self.interval_s = settings.target.status_ms / 1000
         key = keys.status(settings.instance.region, settings.instance.name)
-        self.record = OwnRecord(store, key)
+        self.record = SingleWriterRecord(store, key)
         self.wake = threading.Event()
 
-    def changed(self) -> None:
+    def on_status_change(self) -> None:
         """Have the status written soon."""
         self.wake.set()
 
@@ -67,18 +67,21 @@
         told: TargetStatus | None = None
         quiet_s = 0.0
         while not stop.is_set():
-            self.wake.wait(LOOK_S)
+            self.wake.wait(STATUS_CHECK_INTERVAL_S)
             self.wake.clear()
-            quiet_s += LOOK_S
-            if told == _lasting(self.make(0)) and quiet_s < self.interval_s:
+            quiet_s += STATUS_CHECK_INTERVAL_S
+            if (
+                told == _without_transient_fields(self.build_status(0))
+                and quiet_s < self.interval_s
+            ):
                 continue
             beat += 1
-            status = self.make(beat)
-            if self.record.write(status):
-                told = _lasting(status)
+            status = self.build_status(beat)
+            if self.record.try_write(status):
+                told = _without_transient_fields(status)
                 quiet_s = 0.0
 
 
-def _lasting(status: TargetStatus) -> TargetStatus:
+def _without_transient_fields(status: TargetStatus) -> TargetStatus:
     """Leave out what changes with every request: it is not worth a write of its own."""
     return msgspec.structs.replace(status, active=0, queued=0, service_time_ms=0, beat=0)
--- a/packages/daemon/src/mimosaspur_daemon/journey.py
+++ b/packages/daemon/src/mimosaspur_daemon/requeststate.py
@@ -12,10 +12,10 @@
 from mimosaspur_state.errors import MimosaspurError
 from mimosaspur_state.requests import Work
 
-DEFAULT_RETRY_MS = 1000
+DEFAULT_RETRY_AFTER_MS = 1000
 
 # What ends by itself when a target has started again or a model has been loaded.
-PASSING_REFUSALS = frozenset({ResultCode.DRAINING, ResultCode.NOT_READY_HERE})
+TRANSIENT_REFUSALS = frozenset({ResultCode.DRAINING, ResultCode.NOT_READY_HERE})
 
 # Another target would say the same.
 FINAL_REFUSALS = frozenset(
@@ -30,12 +30,12 @@
 
 
 @dataclass(slots=True)
-class Journey:
+class RequestState:
     """Follow one request over its attempts."""
 
     work: Work
     deadline: Deadline
-    gone: Callable[[], bool]
+    caller_disconnected: Callable[[], bool]
     attempts: int = 0
     generation: int = 0
     tried: set[str] = field(default_factory=set)
@@ -43,15 +43,15 @@
     retry_after_ms: int | None = None
     # After an attempt whose outcome is unknown, no refusal may say "not run" any more.
     may_have_run: bool = False
-    wait_end: Deadline | None = None
+    wait_deadline: Deadline | None = None
 
-    def may_wait(self) -> bool:
+    def can_wait_for_target(self) -> bool:
         """Tell whether it lacks a ready target only, so that a little patience may help."""
         refusal = self.last_refusal
-        return not self.may_have_run and (refusal is None or refusal.code in PASSING_REFUSALS)
+        return not self.may_have_run and (refusal is None or refusal.code in TRANSIENT_REFUSALS)
 
 
-def refused(journey: Journey, code: ResultCode | None = None) -> MimosaspurError:
+def error_from_refusal(journey: RequestState, code: ResultCode | None = None) -> MimosaspurError:
     """Return the refusal of a request that no target took on."""
     refusal = journey.last_refusal
     if refusal and code in (None, ResultCode.RETRIES_EXHAUSTED):
@@ -59,17 +59,17 @@
     return MimosaspurError(
         code or ResultCode.NO_READY_TARGET,
         refusal.detail if refusal else "",
-        retry_after_ms=_come_back_ms(journey, code),
+        retry_after_ms=_retry_after_ms(journey, code),
     )
 
 
-def _come_back_ms(journey: Journey, code: ResultCode | None) -> int | None:
+def _retry_after_ms(journey: RequestState, code: ResultCode | None) -> int | None:
     if code is ResultCode.KEY_REUSED:
         return None
-    return journey.retry_after_ms or DEFAULT_RETRY_MS
+    return journey.retry_after_ms or DEFAULT_RETRY_AFTER_MS
 
 
-def truthful(journey: Journey, error: MimosaspurError) -> MimosaspurError:
+def correct_outcome(journey: RequestState, error: MimosaspurError) -> MimosaspurError:
     """Return what may be told: a refusal's code says "not run", and so do its words."""
     if not journey.may_have_run or error.outcome is not Outcome.NOT_RUN:
         return error
@@ -81,6 +81,6 @@
     )
 
 
-def failure(event: Failed) -> MimosaspurError:
+def error_from_failure(event: Failed) -> MimosaspurError:
     """Return the error that a failed attempt tells."""
     return MimosaspurError(event.code, event.detail, outcome=event.outcome)
--- a/packages/daemon/src/mimosaspur_daemon/runners.py
+++ b/packages/daemon/src/mimosaspur_daemon/runners.py
@@ -6,8 +6,8 @@
 from mimosaspur_daemon.attempts import RunningAttempt
 from mimosaspur_daemon.serving import run_id
 from mimosaspur_protocol.sse import DONE_EVENT
+from mimosaspur_protocol.sse import CompletionBuilder
 from mimosaspur_protocol.sse import EngineEvent
-from mimosaspur_protocol.sse import WholeAnswer
 from mimosaspur_protocol.sse import event_for_caller
 from mimosaspur_state.clock import Clock
 from mimosaspur_state.clock import Deadline
@@ -18,9 +18,9 @@
 from mimosaspur_transport.chat import EngineRejected
 from mimosaspur_transport.plainservice import PlainService
 
-OK = 200
-EVENT_STREAM = "text/event-stream"
-JSON = "application/json"
+HTTP_OK = 200
+EVENT_STREAM_TYPE = "text/event-stream"
+JSON_TYPE = "application/json"
 
 
 class EngineRunner:
@@ -35,44 +35,44 @@
         submit = attempt.submit
         events = self.chat.stream(submit.work, run_id(attempt), submit.resident)
         try:
-            self._write(attempt, events, deadline)
+            self._write_answer(attempt, events, deadline)
         except EngineRejected as error:
             attempt.start(error.status, error.content_type)
-            attempt.add(error.body)
+            attempt.append(error.body)
 
     def adopt(self, attempt: RunningAttempt) -> None:
         """Fetch from the engine what a predecessor of this process began."""
         deadline = Deadline(self.clock, attempt.submit.deadline_ms)
-        self._write(attempt, self.chat.adopt(run_id(attempt)), deadline)
+        self._write_answer(attempt, self.chat.adopt(run_id(attempt)), deadline)
 
     def cancel(self, attempt: RunningAttempt) -> None:
         """End the work at the engine without waiting for it."""
         # Who cancels also reads an entry's connection, and the engine's may be silent.
         threading.Thread(target=self.chat.cancel, args=(run_id(attempt),), daemon=True).start()
 
-    def _write(
+    def _write_answer(
         self, attempt: RunningAttempt, events: Iterator[EngineEvent], deadline: Deadline
     ) -> None:
-        watched = self._watch(attempt, events, deadline)
+        watched = self._check_each_event(attempt, events, deadline)
         name = attempt.submit.work.name
         if attempt.submit.work.stream:
             _write_stream(attempt, watched, name)
         else:
             _write_whole(attempt, watched, name)
 
-    def _watch(
+    def _check_each_event(
         self, attempt: RunningAttempt, events: Iterator[EngineEvent], deadline: Deadline
     ) -> Iterator[EngineEvent]:
         # A stream that has begun is never cut at the deadline; a whole answer is useless then.
         bounded = not attempt.submit.work.stream
         for event in events:
             if attempt.cancelled.is_set():
-                raise self._give_up(attempt, ResultCode.CANCELLED)
-            if bounded and deadline.passed():
-                raise self._give_up(attempt, ResultCode.DEADLINE_PASSED)
+                raise self._abort(attempt, ResultCode.CANCELLED)
+            if bounded and deadline.has_passed():
+                raise self._abort(attempt, ResultCode.DEADLINE_PASSED)
             yield event
 
-    def _give_up(self, attempt: RunningAttempt, code: ResultCode) -> MimosaspurError:
+    def _abort(self, attempt: RunningAttempt, code: ResultCode) -> MimosaspurError:
         self.cancel(attempt)
         return MimosaspurError(code, outcome=Outcome.UNKNOWN)
 
@@ -86,9 +86,9 @@
     def run(self, attempt: RunningAttempt, deadline: Deadline) -> None:
         """Run a call and write its answer."""
         work = attempt.submit.work
-        answer = self.service.call(work, work.request_id, deadline.left_ms())
+        answer = self.service.call(work, work.request_id, deadline.remaining_ms())
         attempt.start(answer.status, answer.content_type)
-        attempt.add(answer.body)
+        attempt.append(answer.body)
 
     def adopt(self, attempt: RunningAttempt) -> None:
         """Say that nobody can tell whether the call ran."""
@@ -105,16 +105,16 @@
 def _write_stream(attempt: RunningAttempt, events: Iterator[EngineEvent], name: str) -> None:
     for event in events:
         if attempt.started is None:
-            attempt.start(OK, EVENT_STREAM)
-        attempt.add(event_for_caller(event.data, name))
+            attempt.start(HTTP_OK, EVENT_STREAM_TYPE)
+        attempt.append(event_for_caller(event.data, name))
     if attempt.started is None:
-        attempt.start(OK, EVENT_STREAM)
-    attempt.add(DONE_EVENT)
+        attempt.start(HTTP_OK, EVENT_STREAM_TYPE)
+    attempt.append(DONE_EVENT)
 
 
 def _write_whole(attempt: RunningAttempt, events: Iterator[EngineEvent], name: str) -> None:
-    whole = WholeAnswer()
+    whole = CompletionBuilder()
     for event in events:
-        whole.add(event.data)
-    attempt.start(OK, JSON)
-    attempt.add(whole.body(name))
+        whole.add_chunk(event.data)
+    attempt.start(HTTP_OK, JSON_TYPE)
+    attempt.append(whole.body(name))
--- a/packages/daemon/src/mimosaspur_daemon/serving.py
+++ b/packages/daemon/src/mimosaspur_daemon/serving.py
@@ -22,8 +22,8 @@
 from mimosaspur_state.records import Claim
 
 PART = "SERVING"
-CATCH_UP_S = 1.0
-ORDINARY_PRIORITY = 5
+GENERATION_WAIT_S = 1.0
+DEFAULT_PRIORITY = 5
 
 
 class Runner(Protocol):
@@ -65,10 +65,10 @@
         self.residents = residents
         self.draining = False
         self.lock = threading.Lock()
-        self.closed: set[str] = set()
-        self.in_use: Counter[str] = Counter()
+        self.closed_residents: set[str] = set()
+        self.in_flight: Counter[str] = Counter()
 
-    def begin(self, attempt: RunningAttempt) -> None:
+    def start(self, attempt: RunningAttempt) -> None:
         """Serve a new attempt in a task of its own."""
         threading.Thread(target=self._serve, args=(attempt,), daemon=True).start()
 
@@ -92,20 +92,20 @@
         self.draining = False
         self.queue.open()
 
-    def close(self, resident: str) -> None:
+    def close_resident(self, resident: str) -> None:
         """Refuse new requests for a resident that is about to be unloaded."""
         with self.lock:
-            self.closed.add(resident)
+            self.closed_residents.add(resident)
 
-    def reopen(self, resident: str) -> None:
+    def reopen_resident(self, resident: str) -> None:
         """Take requests for a resident again."""
         with self.lock:
-            self.closed.discard(resident)
+            self.closed_residents.discard(resident)
 
-    def using(self, resident: str) -> int:
+    def in_flight_count(self, resident: str) -> int:
         """Count the requests that run on a resident or wait for it."""
         with self.lock:
-            return self.in_use[resident]
+            return self.in_flight[resident]
 
     def load(self) -> Load:
         """Report the load."""
@@ -113,7 +113,7 @@
             active=self.queue.active,
             queued=len(self.queue.waiting),
             slots=self.queue.slots,
-            predicted_wait_ms=self.queue.predicted_wait_ms(ORDINARY_PRIORITY),
+            predicted_wait_ms=self.queue.predicted_wait_ms(DEFAULT_PRIORITY),
         )
 
     def _serve(self, attempt: RunningAttempt) -> None:
@@ -121,21 +121,21 @@
         deadline = Deadline(self.clock, submit.deadline_ms)
         try:
             self._check_generation(submit.generation)
-            self._enter_resident(submit.resident)
+            self._acquire_resident(submit.resident)
             try:
                 self._admit(attempt, deadline)
             finally:
-                self._leave_resident(submit.resident)
+                self._release_resident(submit.resident)
         except MimosaspurError as error:
             self._fail(attempt, error)
         except Exception as error:  # noqa: BLE001  (the entry must hear of every end)
             log(PART, "A request met a fault of ours.", error=repr(error))
-            self._fail(attempt, _internal(error))
+            self._fail(attempt, _internal_error(error))
 
     def _adopt(self, attempt: RunningAttempt) -> None:
         try:
             self.runner.adopt(attempt)
-            attempt.end()
+            attempt.finish()
             if attempt.submit.work.idempotency_key:
                 held = self.claims.acquire(
                     attempt.submit.work, run_id(attempt), attempt.submit.deadline_ms
@@ -145,26 +145,26 @@
             self._fail(attempt, error)
         except Exception as error:  # noqa: BLE001  (the entry must hear of every end)
             log(PART, "A resumed request met a fault of ours.", error=repr(error))
-            self._fail(attempt, _internal(error))
+            self._fail(attempt, _internal_error(error))
 
     def _check_generation(self, generation: int) -> None:
         own = self.holder.generation()
         if own > generation:
             raise MimosaspurError(ResultCode.STALE_GENERATION, f"It is {own} here.")
-        if own < generation and not self.holder.wait_for(generation, CATCH_UP_S):
+        if own < generation and not self.holder.wait_for(generation, GENERATION_WAIT_S):
             raise MimosaspurError(ResultCode.NOT_READY_HERE, f"It is {own} here.")
 
-    def _enter_resident(self, resident: str) -> None:
+    def _acquire_resident(self, resident: str) -> None:
         with self.lock:
             if self.draining:
                 raise MimosaspurError(ResultCode.DRAINING)
-            if resident in self.closed or resident not in self.residents():
+            if resident in self.closed_residents or resident not in self.residents():
                 raise MimosaspurError(ResultCode.NOT_READY_HERE, f"No {resident} here.")
-            self.in_use[resident] += 1
+            self.in_flight[resident] += 1
 
-    def _leave_resident(self, resident: str) -> None:
+    def _release_resident(self, resident: str) -> None:
         with self.lock:
-            self.in_use[resident] -= 1
+            self.in_flight[resident] -= 1
 
     def _admit(self, attempt: RunningAttempt, deadline: Deadline) -> None:
         priority = attempt.submit.work.priority
@@ -181,11 +181,11 @@
     def _claim_and_run(self, attempt: RunningAttempt, deadline: Deadline) -> None:
         work = attempt.submit.work
         if not work.idempotency_key:
-            self._check_wanted(attempt, deadline)
+            self._check_still_valid(attempt, deadline)
             self.runner.run(attempt, deadline)
-            attempt.end()
+            attempt.finish()
             return
-        held = self.claims.acquire(work, run_id(attempt), deadline.left_ms())
+        held = self.claims.acquire(work, run_id(attempt), deadline.remaining_ms())
         if isinstance(held, Claim):
             _replay(attempt, held)
             return
@@ -193,7 +193,7 @@
 
     def _run_claimed(self, attempt: RunningAttempt, deadline: Deadline, held: HeldClaim) -> None:
         try:
-            self._check_wanted(attempt, deadline)
+            self._check_still_valid(attempt, deadline)
             self.runner.run(attempt, deadline)
         except MimosaspurError as error:
             if error.outcome is Outcome.NOT_RUN:
@@ -202,7 +202,7 @@
                 self.claims.mark_unknown(held)
             raise
         # The caller comes first: the object API may be slow or down.
-        attempt.end()
+        attempt.finish()
         self._finish_claim(attempt, held)
 
     def _finish_claim(self, attempt: RunningAttempt, held: HeldClaim | Claim) -> None:
@@ -211,11 +211,11 @@
             body = bytes(attempt.buffer)
             self.claims.finish(held, started.status, started.content_type, body)
 
-    def _check_wanted(self, attempt: RunningAttempt, deadline: Deadline) -> None:
+    def _check_still_valid(self, attempt: RunningAttempt, deadline: Deadline) -> None:
         # The process may have been paused since the request was admitted.
         if attempt.cancelled.is_set():
             raise MimosaspurError(ResultCode.CANCELLED)
-        if deadline.passed():
+        if deadline.has_passed():
             raise MimosaspurError(ResultCode.DEADLINE_UNREACHABLE)
 
     def _fail(self, attempt: RunningAttempt, error: MimosaspurError) -> None:
@@ -231,9 +231,9 @@
 
 def _replay(attempt: RunningAttempt, claim: Claim) -> None:
     attempt.start(claim.status, claim.content_type, replayed=True)
-    attempt.add(answer_body(claim))
-    attempt.end()
+    attempt.append(answer_body(claim))
+    attempt.finish()
 
 
-def _internal(error: Exception) -> MimosaspurError:
+def _internal_error(error: Exception) -> MimosaspurError:
     return MimosaspurError(ResultCode.INTERNAL, f"{type(error).__name__}.", outcome=Outcome.UNKNOWN)
--- a/packages/daemon/src/mimosaspur_daemon/ownrecord.py
+++ b/packages/daemon/src/mimosaspur_daemon/singlewriterrecord.py
@@ -7,7 +7,7 @@
 from mimosaspur_state.records import Record
 
 
-class OwnRecord:
+class SingleWriterRecord:
     """Write a record by conditional updates, taking over what a predecessor left."""
 
     __slots__ = ("key", "store", "version")
@@ -17,7 +17,7 @@
         self.key = key
         self.version = ABSENT
 
-    def write(self, record: Record) -> bool:
+    def try_write(self, record: Record) -> bool:
         """Write it; tell whether that is known to have worked."""
         value = record.to_value()
         try:
@@ -33,7 +33,7 @@
             return False
         return True
 
-    def remove(self) -> None:
+    def try_delete(self) -> None:
         """Delete it if that can be done now."""
         try:
             self.store.delete(self.key, self.version)
--- a/packages/daemon/src/mimosaspur_daemon/targetrole.py
+++ b/packages/daemon/src/mimosaspur_daemon/targetrole.py
@@ -9,14 +9,14 @@
 from mimosaspur_coordination.mirror import Mirror
 from mimosaspur_daemon.application import Application
 from mimosaspur_daemon.attempts import AttemptRegistry
-from mimosaspur_daemon.behind import Behind
-from mimosaspur_daemon.behind import EngineBehind
-from mimosaspur_daemon.behind import ServiceBehind
-from mimosaspur_daemon.departure import Departure
+from mimosaspur_daemon.draincontroller import DrainController
 from mimosaspur_daemon.platform import open_store
 from mimosaspur_daemon.reports import StatusReporter
 from mimosaspur_daemon.serving import Serving
 from mimosaspur_daemon.targetserver import TargetServer
+from mimosaspur_daemon.upstream import EngineUpstream
+from mimosaspur_daemon.upstream import ServiceUpstream
+from mimosaspur_daemon.upstream import Upstream
 from mimosaspur_state import keys
 from mimosaspur_state.clock import Clock
 from mimosaspur_state.metrics import Metrics
@@ -39,14 +39,14 @@
         self.store = open_store(settings, clock)
         self.metrics = Metrics(settings.statsd, instance=settings.instance.name)
         self.holder = BundleHolder()
-        self.mirror = self._mirror()
+        self.mirror = self._create_mirror()
         self.fetcher = BundleFetcher(self.store, self.holder)
         self.mirror.listeners.append(self.fetcher.on_change)
-        self.queue = self._queue()
-        self.behind = self._behind()
-        self.serving = self._serving()
-        self.behind.attach(self.serving)
-        self.registry = AttemptRegistry(clock, keep_ms=self.target.keep_answer_ms)
+        self.queue = self._create_queue()
+        self.upstream = self._create_upstream()
+        self.serving = self._create_serving()
+        self.upstream.attach(self.serving)
+        self.registry = AttemptRegistry(clock, retention_ms=self.target.keep_answer_ms)
         self.server = TargetServer(
             settings,
             self.target,
@@ -55,35 +55,35 @@
             holder=self.holder,
             serving=self.serving,
             registry=self.registry,
-            residents=self.behind.residents,
+            residents=self.upstream.residents,
         )
-        self.departure = Departure(
-            settings, self.mirror, self.serving, self.server, self.behind, self.registry
+        self.drain_controller = DrainController(
+            settings, self.mirror, self.serving, self.server, self.upstream, self.registry
         )
-        self.status = StatusReporter(self.store, settings, self.make_status)
+        self.status_reporter = StatusReporter(self.store, settings, self.build_status)
         self.address = ""
 
     def start(self, app: Application) -> str:
         """Start all tasks; return the address that entries reach."""
         # Binding comes first: from then on no predecessor runs on this instance.
         self.address = self.server.bind()
-        self.behind.on_change.append(self.server.announce_residents)
-        self.behind.on_change.append(self.status.changed)
+        self.upstream.on_change.append(self.server.announce_residents)
+        self.upstream.on_change.append(self.status_reporter.on_status_change)
         self.holder.listeners.append(lambda index: self.server.announce_generation())
-        self.mirror.listeners.append(lambda item: self.departure.wake.set())
-        self.departure.on_change.append(self.status.changed)
+        self.mirror.listeners.append(lambda item: self.drain_controller.wake.set())
+        self.drain_controller.on_change.append(self.status_reporter.on_status_change)
         app.spawn("mirror", self.mirror.run)
         app.spawn("bundles", self.fetcher.run)
-        app.spawn("behind", self.behind.run)
+        app.spawn("behind", self.upstream.run)
         app.spawn("server", self.server.run)
         app.spawn("sweep", self.server.sweep)
         app.spawn("claims", self.serving.claims.abandoned.run)
-        app.spawn("departure", self.departure.run)
-        app.spawn("status", self.status.run)
-        app.on_stop(self.departure.shut_down)
+        app.spawn("departure", self.drain_controller.run)
+        app.spawn("status", self.status_reporter.run)
+        app.on_stop(self.drain_controller.shut_down)
         return self.address
 
-    def make_status(self, beat: int) -> TargetStatus:
+    def build_status(self, beat: int) -> TargetStatus:
         """Describe this target to the planner."""
         instance = self.settings.instance
         load = self.serving.load()
@@ -94,10 +94,10 @@
             service=self.target.service,
             failure_domain=instance.failure_domain,
             address=self.address,
-            capacity_mb=self.behind.capacity_mb(),
-            free_mb=self.behind.free_mb(),
-            residents=self.behind.residents(),
-            draining=self.departure.leaving(),
+            capacity_mb=self.upstream.capacity_mb(),
+            free_mb=self.upstream.free_mb(),
+            residents=self.upstream.residents(),
+            draining=self.drain_controller.is_drain_ordered(),
             active=load.active,
             queued=load.queued,
             slots=load.slots,
@@ -106,11 +106,11 @@
             generation=self.holder.generation(),
         )
 
-    def _mirror(self) -> Mirror:
+    def _create_mirror(self) -> Mirror:
         region = self.settings.instance.region
         placed = keys.placements(region)
         if self.target.kind is TargetKind.SERVICE:
-            placed = keys.carrier(region, self.target.service)
+            placed = keys.service_registration(region, self.target.service)
         prefixes = (keys.HEAD, placed, keys.drain(self.settings.instance.name))
         return Mirror(
             self.store,
@@ -119,7 +119,7 @@
             watch_interval_ms=self.settings.platform.watch_pace_ms,
         )
 
-    def _queue(self) -> AdmissionQueue:
+    def _create_queue(self) -> AdmissionQueue:
         return AdmissionQueue(
             self.clock,
             slots=self.target.slots,
@@ -128,10 +128,10 @@
             naive=self.settings.policy is Policy.NAIVE,
         )
 
-    def _behind(self) -> Behind:
+    def _create_upstream(self) -> Upstream:
         if self.target.kind is TargetKind.SERVICE:
-            return ServiceBehind(self.settings, self.target, self.store, self.mirror)
-        return EngineBehind(
+            return ServiceUpstream(self.settings, self.target, self.store, self.mirror)
+        return EngineUpstream(
             self.settings,
             self.target,
             self.store,
@@ -142,7 +142,7 @@
             incarnation=self.incarnation,
         )
 
-    def _serving(self) -> Serving:
+    def _create_serving(self) -> Serving:
         return Serving(
             queue=self.queue,
             claims=Claims(
@@ -152,8 +152,8 @@
                 writes_per_second=self.settings.platform.writes_per_second,
             ),
             holder=self.holder,
-            runner=self.behind.runner,
+            runner=self.upstream.runner,
             clock=self.clock,
             metrics=self.metrics,
-            residents=self.behind.residents,
+            residents=self.upstream.residents,
         )
--- a/packages/daemon/src/mimosaspur_daemon/targetserver.py
+++ b/packages/daemon/src/mimosaspur_daemon/targetserver.py
@@ -11,7 +11,7 @@
 from mimosaspur_daemon.serving import Serving
 from mimosaspur_protocol.codec import ProtocolError
 from mimosaspur_protocol.messages import BundleOffer
-from mimosaspur_protocol.messages import BundleWanted
+from mimosaspur_protocol.messages import BundleRequest
 from mimosaspur_protocol.messages import Cancel
 from mimosaspur_protocol.messages import Draining
 from mimosaspur_protocol.messages import Generation
@@ -37,7 +37,7 @@
 PART = "TARGET"
 ACCEPT_POLL_S = 0.5
 # An entry beats every second; one that has not for this long is gone for good.
-SILENT_BEATS = 10
+MAX_MISSED_HEARTBEATS = 10
 
 
 class EntryConnection:
@@ -77,7 +77,7 @@
         self.residents = residents
         self.socket: socket.socket | None = None
         self.lock = threading.Lock()
-        self.newest: dict[str, EntryConnection] = {}
+        self.newest_connections: dict[str, EntryConnection] = {}
 
     def bind(self) -> str:
         """Listen alone on the settings' address; raise OSError when it is taken."""
@@ -96,7 +96,7 @@
                 except TimeoutError:
                     continue
                 wire = Wire(sock, send_timeout_ms=self.settings.peers.silent_ms)
-                threading.Thread(target=self._serve, args=(wire,), daemon=True).start()
+                threading.Thread(target=self._serve_connection, args=(wire,), daemon=True).start()
 
     def sweep(self, stop: threading.Event) -> None:
         """Let go of answers that nobody fetches until told to stop."""
@@ -117,16 +117,16 @@
 
     def _broadcast(self, message: Message) -> None:
         with self.lock:
-            connections = list(self.newest.values())
+            connections = list(self.newest_connections.values())
         for connection in connections:
             try:
                 connection.wire.send(message)
             except ConnectionLost:
                 continue  # Its own task notices and ends.
 
-    def _serve(self, wire: Wire) -> None:
+    def _serve_connection(self, wire: Wire) -> None:
         connection = EntryConnection(wire)
-        beat_ms = self.settings.peers.heartbeat_ms * SILENT_BEATS
+        beat_ms = self.settings.peers.heartbeat_ms * MAX_MISSED_HEARTBEATS
         wire.sock.settimeout(beat_ms / 1000)
         try:
             while True:
@@ -137,13 +137,13 @@
         except ProtocolError as error:
             log(PART, "Closed a connection.", entry=connection.entry, error=str(error))
         finally:
-            self._end(connection)
+            self._close_connection(connection)
 
-    def _end(self, connection: EntryConnection) -> None:
+    def _close_connection(self, connection: EntryConnection) -> None:
         connection.wire.close()
         with self.lock:
-            if self.newest.get(connection.entry) is connection:
-                del self.newest[connection.entry]
+            if self.newest_connections.get(connection.entry) is connection:
+                del self.newest_connections[connection.entry]
         self.registry.detach(connection.wire)
 
     @singledispatchmethod
@@ -155,12 +155,12 @@
         connection.entry = f"{message.instance}/{message.incarnation}"
         connection.number = message.connection
         with self.lock:
-            older = self.newest.get(connection.entry)
+            older = self.newest_connections.get(connection.entry)
             if older and older.number >= connection.number:
                 raise ProtocolError("a newer connection of this entry is open")
             if older:
                 older.superseded = True
-            self.newest[connection.entry] = connection
+            self.newest_connections[connection.entry] = connection
         if older:
             older.wire.close()
         connection.wire.send(
@@ -172,38 +172,38 @@
                 self.residents(),
             )
         )
-        self._compare(message.generation, connection)
+        self._request_newer_bundle(message.generation, connection)
 
     @_handle.register
     def _(self, message: Submit, connection: EntryConnection) -> None:
-        attempt = self._attempt(message, connection)
-        if self._register(attempt, connection):
-            self._compare(message.generation, connection)
-            self.serving.begin(attempt)
+        attempt = self._create_attempt(message, connection)
+        if self._try_register(attempt, connection):
+            self._request_newer_bundle(message.generation, connection)
+            self.serving.start(attempt)
 
     @_handle.register
     def _(self, message: Resume, connection: EntryConnection) -> None:
         submit = message.submit
         known = self.registry.get((submit.work.request_id, submit.attempt))
         if known:
-            known.resume(connection.wire, message.offset, connection=connection.number)
+            known.resume(connection.wire, message.offset, connection_number=connection.number)
             return
-        attempt = self._attempt(submit, connection)
-        if self.registry.knew(attempt.key()):
-            attempt.fail(_dropped())
-        elif not self._register(attempt, connection):
+        attempt = self._create_attempt(submit, connection)
+        if self.registry.was_dropped(attempt.key()):
+            attempt.fail(_answer_dropped_error())
+        elif not self._try_register(attempt, connection):
             return
         elif message.incarnation == self.incarnation:
             # It never came, and older connections are shut out, so it can't come twice.
-            self._compare(submit.generation, connection)
-            self.serving.begin(attempt)
+            self._request_newer_bundle(submit.generation, connection)
+            self.serving.start(attempt)
         else:
             self.serving.adopt(attempt)
 
     @_handle.register
     def _(self, message: Cancel, connection: EntryConnection) -> None:
         attempt = self.registry.get((message.request_id, message.attempt))
-        if attempt and attempt.final:
+        if attempt and attempt.final_message:
             self.registry.release(attempt)
         elif attempt:
             self.serving.cancel(attempt)
@@ -218,10 +218,10 @@
                 self.serving.load(),
             )
         )
-        self._compare(message.generation, connection)
+        self._request_newer_bundle(message.generation, connection)
 
     @_handle.register
-    def _(self, message: BundleWanted, connection: EntryConnection) -> None:
+    def _(self, message: BundleRequest, connection: EntryConnection) -> None:
         packed = self.holder.encode_current()
         if packed and packed[0] > message.have:
             connection.wire.send(BundleOffer(*packed))
@@ -230,26 +230,26 @@
     def _(self, message: BundleOffer, connection: EntryConnection) -> None:
         self.holder.apply_encoded(message.generation, message.packed)
 
-    def _attempt(self, submit: Submit, connection: EntryConnection) -> RunningAttempt:
+    def _create_attempt(self, submit: Submit, connection: EntryConnection) -> RunningAttempt:
         return RunningAttempt(
             submit,
             connection.wire,
             self.clock,
-            limit=self.target.answer_bytes,
-            connection=connection.number,
+            max_answer_bytes=self.target.answer_bytes,
+            connection_number=connection.number,
         )
 
-    def _register(self, attempt: RunningAttempt, connection: EntryConnection) -> bool:
+    def _try_register(self, attempt: RunningAttempt, connection: EntryConnection) -> bool:
         """Tell whether an attempt may begin: once, and never from a connection shut out."""
         with self.lock:
             return not connection.superseded and self.registry.add(attempt)
 
-    def _compare(self, theirs: int, connection: EntryConnection) -> None:
+    def _request_newer_bundle(self, theirs: int, connection: EntryConnection) -> None:
         if self.holder.should_request(theirs, self.clock.now_ms()):
-            connection.wire.send(BundleWanted(self.holder.generation()))
+            connection.wire.send(BundleRequest(self.holder.generation()))
 
 
-def _dropped() -> MimosaspurError:
+def _answer_dropped_error() -> MimosaspurError:
     return MimosaspurError(
         ResultCode.OUTCOME_UNKNOWN,
         "Its answer waited for target.keep_answer_ms and was dropped.",
--- a/packages/daemon/src/mimosaspur_daemon/behind.py
+++ b/packages/daemon/src/mimosaspur_daemon/upstream.py
@@ -8,8 +8,8 @@
 from mimosaspur_coordination.mirror import Mirror
 from mimosaspur_coordination.serviceregistration import ServiceRegistration
 from mimosaspur_coordination.targetdirectory import service_resident
-from mimosaspur_daemon.engine_keeper import EngineKeeper
-from mimosaspur_daemon.engine_situation import ServingSide
+from mimosaspur_daemon.engine_reconciler import EngineReconciler
+from mimosaspur_daemon.engine_snapshot import ServingHooks
 from mimosaspur_daemon.runners import EngineRunner
 from mimosaspur_daemon.runners import ServiceRunner
 from mimosaspur_daemon.serving import Runner
@@ -24,10 +24,10 @@
 from mimosaspur_transport.engine import EngineAdmin
 from mimosaspur_transport.plainservice import PlainService
 
-REGISTER_S = 1.0
+REGISTER_INTERVAL_S = 1.0
 
 
-class Behind(Protocol):
+class Upstream(Protocol):
     """Hold what the role target needs of what stands behind it."""
 
     runner: Runner
@@ -61,20 +61,20 @@
         """Keep it as placement asks until told to stop."""
         ...
 
-    def gone(self) -> bool:
+    def is_withdrawn(self) -> bool:
         """Tell whether nothing depends on this target any more."""
         ...
 
-    def leave(self) -> bool:
+    def withdraw(self) -> bool:
         """Move off placement as far as this target decides that; tell whether it is off."""
         ...
 
-    def stay(self) -> None:
+    def cancel_withdrawal(self) -> None:
         """Take back `leave`."""
         ...
 
 
-class EngineBehind:
+class EngineUpstream:
     """Keep a model engine."""
 
     def __init__(
@@ -101,11 +101,11 @@
         chat = EngineChat(target.address, silent_ms=target.silent_ms)
         self.runner: Runner = EngineRunner(chat, clock)
         self.on_change: list[Callable[[], None]] = []
-        self.keeper: EngineKeeper | None = None
+        self.reconciler: EngineReconciler | None = None
 
     def attach(self, serving: Serving) -> None:
         """Connect with the serving side, before `run`."""
-        self.keeper = EngineKeeper(
+        self.reconciler = EngineReconciler(
             self.settings,
             self.store,
             self.admin,
@@ -113,37 +113,39 @@
             self.mirror,
             self.holder.current,
             self.metrics,
-            serving=ServingSide(serving.using, serving.close, serving.reopen),
+            serving=ServingHooks(
+                serving.in_flight_count, serving.close_resident, serving.reopen_resident
+            ),
             incarnation=self.incarnation,
         )
-        self.keeper.on_change = self.on_change
+        self.reconciler.on_change = self.on_change
 
     def residents(self) -> tuple[str, ...]:
         """Return what can be served now."""
-        return self.keeper.ready_residents() if self.keeper else ()
+        return self.reconciler.ready_residents() if self.reconciler else ()
 
     def free_mb(self) -> tuple[int, ...]:
         """Return the memory left on each accelerator."""
-        return self.keeper.free_mb() if self.keeper else ()
+        return self.reconciler.free_mb() if self.reconciler else ()
 
     def capacity_mb(self) -> tuple[int, ...]:
         """Return the memory of each accelerator."""
-        return self.keeper.capacity_mb() if self.keeper else ()
+        return self.reconciler.capacity_mb() if self.reconciler else ()
 
     def layout(self) -> dict[str, tuple[int, ...]]:
         """Return the accelerators of each model that takes memory."""
-        return self.keeper.layout() if self.keeper else {}
+        return self.reconciler.layout() if self.reconciler else {}
 
     def held_mb(self) -> dict[str, int]:
         """Return each model's memory with its adapters on each accelerator."""
-        return self.keeper.held_mb() if self.keeper else {}
+        return self.reconciler.held_mb() if self.reconciler else {}
 
     def run(self, stop: threading.Event) -> None:
         """Keep the engine as placement asks until told to stop."""
-        assert self.keeper is not None
-        self.keeper.run(stop)
+        assert self.reconciler is not None
+        self.reconciler.run(stop)
 
-    def gone(self) -> bool:
+    def is_withdrawn(self) -> bool:
         """Tell whether no placement record names this target."""
         own = self.settings.instance.name
         records = self.mirror.list_prefix(keys.placements(self.settings.instance.region))
@@ -151,15 +153,15 @@
             replica["target"] == own for item in records for replica in item.value["replicas"]
         )
 
-    def leave(self) -> bool:
+    def withdraw(self) -> bool:
         """Wait for the planner, which moves the models first."""
-        return self.gone()
+        return self.is_withdrawn()
 
-    def stay(self) -> None:
+    def cancel_withdrawal(self) -> None:
         """Wait for the planner, which may place models here again."""
 
 
-class ServiceBehind:
+class ServiceUpstream:
     """Keep a plain service registered as carried by this target."""
 
     def __init__(
@@ -168,14 +170,14 @@
         self.resident = service_resident(target.service)
         self.runner: Runner = ServiceRunner(PlainService(target.address))
         self.on_change: list[Callable[[], None]] = []
-        self.carriers = ServiceRegistration(
+        self.registration = ServiceRegistration(
             store,
             mirror,
             region=settings.instance.region,
             service=target.service,
             target=settings.instance.name,
         )
-        self.leaving = False
+        self.withdrawing = False
 
     def attach(self, serving: Serving) -> None:
         """Need nothing of the serving side."""
@@ -203,19 +205,19 @@
     def run(self, stop: threading.Event) -> None:
         """Keep the service registered until told to stop."""
         while not stop.is_set():
-            if not self.leaving:
-                self.carriers.register()
-            stop.wait(REGISTER_S)
+            if not self.withdrawing:
+                self.registration.register()
+            stop.wait(REGISTER_INTERVAL_S)
 
-    def gone(self) -> bool:
+    def is_withdrawn(self) -> bool:
         """Tell whether the record no longer names this target."""
-        return not self.carriers.is_registered()
+        return not self.registration.is_registered()
 
-    def leave(self) -> bool:
+    def withdraw(self) -> bool:
         """Take this target off the record if another one carries the service."""
-        self.leaving = True
-        return self.carriers.deregister()
+        self.withdrawing = True
+        return self.registration.deregister()
 
-    def stay(self) -> None:
+    def cancel_withdrawal(self) -> None:
         """Register again."""
-        self.leaving = False
+        self.withdrawing = False
--- a/packages/load/src/mimosaspur_load/searchcost.py
+++ b/packages/load/src/mimosaspur_load/searchcost.py
@@ -12,7 +12,7 @@
 from mimosaspur_coordination.placementproblem import EngineSnapshot
 from mimosaspur_coordination.placementproblem import PlacementProblem
 from mimosaspur_protocol.peermessages import FleetReport
-from mimosaspur_protocol.peermessages import WorkAt
+from mimosaspur_protocol.peermessages import TargetWork
 from mimosaspur_protocol.peermessages import encode_peer
 from mimosaspur_state.routes import EngineSpec
 from mimosaspur_state.routes import ModelSpec
@@ -67,7 +67,7 @@
     """Return the size of news in which the work at all engines has changed."""
     chance = Random(seed)
     work = [
-        WorkAt(f"i-{n:010x}", chance.randrange(60), {1: 4_000, 3: 9_000}, 80_000, {})
+        TargetWork(f"i-{n:010x}", chance.randrange(60), {1: 4_000, 3: 9_000}, 80_000, {})
         for n in range(engines)
     ]
     return len(encode_peer(FleetReport(1, True, 1, work, [], {})))
--- a/packages/load/src/mimosaspur_load/slope_state.py
+++ b/packages/load/src/mimosaspur_load/slope_state.py
@@ -40,7 +40,7 @@
     "entry": "import mimosaspur_daemon.main, mimosaspur_daemon.entryrole;",
     "entry that plans": (
         "import mimosaspur_daemon.main, mimosaspur_daemon.entryrole, "
-        "mimosaspur_daemon.planner_duty;"
+        "mimosaspur_daemon.leased_planner;"
     ),
     "target": "import mimosaspur_daemon.main, mimosaspur_daemon.targetrole;",
 }
--- a/packages/protocol/src/mimosaspur_protocol/callerapi.py
+++ b/packages/protocol/src/mimosaspur_protocol/callerapi.py
@@ -11,26 +11,26 @@
 from mimosaspur_state.codes import CODE_TABLE
 from mimosaspur_state.codes import ResultCode
 from mimosaspur_state.errors import MimosaspurError
-from mimosaspur_state.requests import Kind
+from mimosaspur_state.requests import RequestKind
 from mimosaspur_state.requests import Work
 
 CHAT_PATH = "/v1/chat/completions"
 SERVICES_PREFIX = "/services/"
 
-KEY_HEADER = "idempotency-key"
+IDEMPOTENCY_KEY_HEADER = "idempotency-key"
 IDEMPOTENT_HEADER = "x-mimosaspur-idempotent"
 DEADLINE_HEADER = "x-deadline-ms"
 PRIORITY_HEADER = "x-priority"
 
 SAFE_METHODS = frozenset({"GET", "HEAD"})
 DEFAULT_PRIORITY = 5
-LAST_PRIORITY = 9
-PREFIX_LENGTH = 64
-DEFAULT_RETRY_MS = 1000
+LOWEST_PRIORITY = 9
+MAX_PREFIX_LENGTH = 64
+DEFAULT_RETRY_AFTER_MS = 1000
 MS_PER_SECOND = 1000
 
-_KEY = re.compile(r"[\x21-\x7e]{1,255}")
-_NUMBER = re.compile(r"[0-9]{1,9}")
+_KEY_PATTERN = re.compile(r"[\x21-\x7e]{1,255}")
+_NUMBER_PATTERN = re.compile(r"[0-9]{1,9}")
 _BOOLEANS = {"true": True, "false": False}
 
 
@@ -72,10 +72,10 @@
 
 def parse_work(request: CallerRequest, deadlines: Deadlines) -> ParsedWork:
     """Check a request that is_work accepts; raise MimosaspurError."""
-    deadline_ms = _deadline_ms(request.headers, deadlines)
+    deadline_ms = _parse_deadline_ms(request.headers, deadlines)
     if request.target.partition("?")[0] == CHAT_PATH:
-        return ParsedWork(_chat(request), deadline_ms)
-    return ParsedWork(_service(request), deadline_ms)
+        return ParsedWork(_parse_chat(request), deadline_ms)
+    return ParsedWork(_parse_service(request), deadline_ms)
 
 
 def error_body(error: MimosaspurError, request_id: str) -> dict[str, Any]:
@@ -99,7 +99,7 @@
     if error.retry_after_ms is not None:
         return error.retry_after_ms
     if CODE_TABLE[error.code].next_step.startswith("Try"):
-        return DEFAULT_RETRY_MS
+        return DEFAULT_RETRY_AFTER_MS
     return None
 
 
@@ -111,46 +111,46 @@
     return max(1, -(-retry_ms // MS_PER_SECOND))
 
 
-def _chat(request: CallerRequest) -> Work:
+def _parse_chat(request: CallerRequest) -> Work:
     body = _json_object(request.body)
     model = body.get("model")
     if not isinstance(model, str) or not model:
         raise _bad_request('"model" must be a non-empty string.')
-    messages = _messages(body.get("messages"))
+    messages = _parse_messages(body.get("messages"))
     _check_max_tokens(body.get("max_tokens"))
     return Work(
         request_id=request.request_id,
-        kind=Kind.CHAT,
+        kind=RequestKind.CHAT,
         name=model,
         method=request.method,
         path=CHAT_PATH,
         content_type=request.headers.get("content-type", "application/json"),
         body=request.body,
-        stream=_stream(body.get("stream")),
-        priority=_priority(request.headers),
-        idempotent=_idempotent(request.headers, default=True),
-        idempotency_key=_key(request.headers),
-        prefix=_prefix(messages[0]),
+        stream=_parse_stream(body.get("stream")),
+        priority=_parse_priority(request.headers),
+        idempotent=_parse_idempotent(request.headers, default=True),
+        idempotency_key=_parse_idempotency_key(request.headers),
+        prefix=_prompt_prefix(messages[0]),
     )
 
 
-def _service(request: CallerRequest) -> Work:
+def _parse_service(request: CallerRequest) -> Work:
     if not request.target.isascii():
         raise _bad_request("The path must be percent-encoded ASCII.")
     rest = request.target.removeprefix(SERVICES_PREFIX)
     name, _, path = rest.partition("/")
     return Work(
         request_id=request.request_id,
-        kind=Kind.SERVICE,
+        kind=RequestKind.SERVICE,
         name=unquote(name),
         method=request.method,
         path=f"/{path}",
         content_type=request.headers.get("content-type", ""),
         body=request.body,
         stream=False,
-        priority=_priority(request.headers),
-        idempotent=_idempotent(request.headers, default=request.method in SAFE_METHODS),
-        idempotency_key=_key(request.headers),
+        priority=_parse_priority(request.headers),
+        idempotent=_parse_idempotent(request.headers, default=request.method in SAFE_METHODS),
+        idempotency_key=_parse_idempotency_key(request.headers),
         prefix="",
     )
 
@@ -165,7 +165,7 @@
     return value
 
 
-def _messages(value: object) -> list[dict[str, Any]]:
+def _parse_messages(value: object) -> list[dict[str, Any]]:
     if not isinstance(value, list) or not value:
         raise _bad_request('"messages" must be a non-empty list.')
     for number, message in enumerate(value):
@@ -178,7 +178,7 @@
     return value
 
 
-def _stream(value: object) -> bool:
+def _parse_stream(value: object) -> bool:
     if value is None:
         return False
     if not isinstance(value, bool):
@@ -194,50 +194,50 @@
         raise _bad_request('"max_tokens" must be a whole number above 0.')
 
 
-def _prefix(message: dict[str, Any]) -> str:
+def _prompt_prefix(message: dict[str, Any]) -> str:
     content = message["content"]
     if isinstance(content, str):
-        return content[:PREFIX_LENGTH]
+        return content[:MAX_PREFIX_LENGTH]
     for part in content:
         if isinstance(part, dict) and isinstance(part.get("text"), str):
-            return str(part["text"][:PREFIX_LENGTH])
+            return str(part["text"][:MAX_PREFIX_LENGTH])
     return ""
 
 
-def _key(headers: Mapping[str, str]) -> str:
-    key = headers.get(KEY_HEADER)
+def _parse_idempotency_key(headers: Mapping[str, str]) -> str:
+    key = headers.get(IDEMPOTENCY_KEY_HEADER)
     if key is None:
         return ""
-    if not _KEY.fullmatch(key):
+    if not _KEY_PATTERN.fullmatch(key):
         raise _bad_header("Idempotency-Key must be 1 to 255 visible ASCII characters.")
     return key
 
 
-def _idempotent(headers: Mapping[str, str], *, default: bool) -> bool:
+def _parse_idempotent(headers: Mapping[str, str], *, default: bool) -> bool:
     text = headers.get(IDEMPOTENT_HEADER)
     if text is not None and text not in _BOOLEANS:
         raise _bad_header("X-Mimosaspur-Idempotent must be true or false.")
     # A key asks for at most one run, whatever else the caller says.
-    if KEY_HEADER in headers:
+    if IDEMPOTENCY_KEY_HEADER in headers:
         return False
     return default if text is None else _BOOLEANS[text]
 
 
-def _deadline_ms(headers: Mapping[str, str], deadlines: Deadlines) -> int:
+def _parse_deadline_ms(headers: Mapping[str, str], deadlines: Deadlines) -> int:
     text = headers.get(DEADLINE_HEADER)
     if text is None:
         return min(deadlines.default_ms, deadlines.max_ms)
-    if not _NUMBER.fullmatch(text) or not 1 <= int(text) <= deadlines.max_ms:
+    if not _NUMBER_PATTERN.fullmatch(text) or not 1 <= int(text) <= deadlines.max_ms:
         raise _bad_header(f"X-Deadline-Ms must be a whole number from 1 to {deadlines.max_ms}.")
     return int(text)
 
 
-def _priority(headers: Mapping[str, str]) -> int:
+def _parse_priority(headers: Mapping[str, str]) -> int:
     text = headers.get(PRIORITY_HEADER)
     if text is None:
         return DEFAULT_PRIORITY
-    if not _NUMBER.fullmatch(text) or int(text) > LAST_PRIORITY:
-        raise _bad_header(f"X-Priority must be a whole number from 0 to {LAST_PRIORITY}.")
+    if not _NUMBER_PATTERN.fullmatch(text) or int(text) > LOWEST_PRIORITY:
+        raise _bad_header(f"X-Priority must be a whole number from 0 to {LOWEST_PRIORITY}.")
     return int(text)
 
 
--- a/packages/protocol/src/mimosaspur_protocol/codec.py
+++ b/packages/protocol/src/mimosaspur_protocol/codec.py
@@ -11,7 +11,7 @@
 
 MAX_FRAME_BYTES = 16_000_000
 
-_NUMBER_OF: dict[type, int] = {kind: number for number, kind in enumerate(MESSAGE_TYPES)}
+_TYPE_NUMBERS: dict[type, int] = {kind: number for number, kind in enumerate(MESSAGE_TYPES)}
 
 
 class ProtocolError(Exception):
@@ -21,7 +21,7 @@
 def encode(message: Message) -> bytes:
     """Return a message's frame: its type number and its fields."""
     fields = msgspec.to_builtins(message, builtin_types=(bytes,))
-    return msgpack.packb([_NUMBER_OF[type(message)], fields])
+    return msgpack.packb([_TYPE_NUMBERS[type(message)], fields])
 
 
 class Decoder:
@@ -37,12 +37,12 @@
         try:
             self.unpacker.feed(data)
             for frame in self.unpacker:
-                yield _message(frame)
+                yield _decode_message(frame)
         except (ValueError, msgpack.exceptions.UnpackException, msgpack.BufferFull) as error:
             raise ProtocolError(f"bad frame: {error}") from error
 
 
-def _message(frame: object) -> Message:
+def _decode_message(frame: object) -> Message:
     if not isinstance(frame, list) or len(frame) != 2:
         raise ProtocolError("a frame is a type number and fields")
     number, fields = frame
--- a/packages/protocol/src/mimosaspur_protocol/configurations.py
+++ b/packages/protocol/src/mimosaspur_protocol/configurationcodec.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from mimosaspur_protocol.peermessages import ConfigurationTold
+from mimosaspur_protocol.peermessages import EncodedConfiguration
 from mimosaspur_protocol.peermessages import PeerProtocolError
 from mimosaspur_state.routes import CallerLimits
 from mimosaspur_state.routes import Configuration
@@ -32,7 +32,7 @@
 _decoder = msgspec.msgpack.Decoder(_Body)
 
 
-def encode_configuration(configuration: Configuration) -> ConfigurationTold:
+def encode_configuration(configuration: Configuration) -> EncodedConfiguration:
     """Return the message that passes a configuration on; of API keys it holds digests only."""
     body = _Body(
         configuration.version,
@@ -42,10 +42,10 @@
         configuration.workspaces,
     )
     packed = zlib.compress(_encoder.encode(body), COMPRESSION_LEVEL)
-    return ConfigurationTold(configuration.version, _digest(packed), packed)
+    return EncodedConfiguration(configuration.version, _digest(packed), packed)
 
 
-def decode_configuration(told: ConfigurationTold) -> Configuration:
+def decode_configuration(told: EncodedConfiguration) -> Configuration:
     """Return the configuration of a message; raise PeerProtocolError unless it is whole."""
     if _digest(told.body) != told.digest:
         raise PeerProtocolError("the configuration's digest is another one")
--- a/packages/protocol/src/mimosaspur_protocol/eventcut.py
+++ b/packages/protocol/src/mimosaspur_protocol/eventbuffer.py
@@ -4,31 +4,31 @@
 _ID_FIELD = b"id:"
 
 
-class EventCutter:
+class EventBuffer:
     """Keep the begun event back, and the number of the last whole one."""
 
-    __slots__ = ("begun", "last_id")
+    __slots__ = ("incomplete", "last_id")
 
     def __init__(self, last_id: int | None) -> None:
-        self.begun = b""
+        self.incomplete = b""
         # The number of the last whole event, None before the first: a resumed stream goes on
         # after it.
         self.last_id = last_id
 
     def feed(self, data: bytes) -> bytes:
         """Return the whole events; those that came before already are left out."""
-        text = self.begun + data
+        text = self.incomplete + data
         end = text.rfind(_BLANK_LINE)
         if end < 0:
-            self.begun = text
+            self.incomplete = text
             return b""
         end += len(_BLANK_LINE)
-        self.begun = text[end:]
+        self.incomplete = text[end:]
         return b"".join(self._new_events(text[:end]))
 
-    def restart(self) -> None:
+    def discard_incomplete(self) -> None:
         """Drop the begun event: the stream goes on from its start at another target."""
-        self.begun = b""
+        self.incomplete = b""
 
     def _new_events(self, text: bytes) -> list[bytes]:
         kept = []
--- a/packages/protocol/src/mimosaspur_protocol/messages.py
+++ b/packages/protocol/src/mimosaspur_protocol/messages.py
@@ -151,7 +151,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class BundleWanted:
+class BundleRequest:
     """Ask whoever is ahead for the bundle in force (either way)."""
 
     have: int
@@ -187,7 +187,7 @@
     Pong,
     Draining,
     Residents,
-    BundleWanted,
+    BundleRequest,
     BundleOffer,
     Generation,
 )
@@ -207,7 +207,7 @@
     | Pong
     | Draining
     | Residents
-    | BundleWanted
+    | BundleRequest
     | BundleOffer
     | Generation
 )
--- a/packages/protocol/src/mimosaspur_protocol/peermessages.py
+++ b/packages/protocol/src/mimosaspur_protocol/peermessages.py
@@ -6,18 +6,18 @@
 MAX_MESSAGE_BYTES = 4_000_000
 
 
-class WorkAt(msgspec.Struct, array_like=True, frozen=True):
+class TargetWork(msgspec.Struct, array_like=True, frozen=True):
     """Hold what one entry, or all entries, have at a target."""
 
     target: str
     requests: int
     # Prompt tokens still to be read, by rank.
-    unread: dict[int, int]
+    prefill_tokens: dict[int, int]
     held_tokens: int
     by_model: dict[str, int]
 
 
-class AskedFor(msgspec.Struct, array_like=True, frozen=True):
+class ModelDemandUpdate(msgspec.Struct, array_like=True, frozen=True):
     """Hold what callers asked of a model since the last report, and how many wait for it now."""
 
     model: str
@@ -27,7 +27,7 @@
     objective_ms: int
 
 
-class AskedForAdapter(msgspec.Struct, array_like=True, frozen=True):
+class AdapterDemandUpdate(msgspec.Struct, array_like=True, frozen=True):
     """Count the requests for an adapter since the last report."""
 
     model: str
@@ -35,7 +35,7 @@
     requests: int
 
 
-class PaceOf(msgspec.Struct, array_like=True, frozen=True):
+class ModelPaceUpdate(msgspec.Struct, array_like=True, frozen=True):
     """Hold how long a model's tokens take beside a common model's, and the measurements of it."""
 
     model: str
@@ -43,7 +43,7 @@
     measurements: float
 
 
-class SpentOf(msgspec.Struct, array_like=True, frozen=True):
+class QuotaSpending(msgspec.Struct, array_like=True, frozen=True):
     """Tell what an entry spent of a workspace's quota since its last report, and refused."""
 
     workspace: str
@@ -57,31 +57,31 @@
     instance: str
     # Counts the entry's reports from 1 on.
     number: int
-    work: list[WorkAt]
-    asked: list[AskedFor]
+    work: list[TargetWork]
+    model_demand: list[ModelDemandUpdate]
     # Model and adapter of requests that wait for the adapter.
-    adapters: list[tuple[str, str]]
+    waiting_adapters: list[tuple[str, str]]
     # Targets to which no connection could be opened since the last report.
     unreachable: list[str]
-    asked_adapters: list[AskedForAdapter] = msgspec.field(default_factory=list)
+    adapter_demand: list[AdapterDemandUpdate] = msgspec.field(default_factory=list)
     # Paces that have changed since the last report.
-    paces: list[PaceOf] = msgspec.field(default_factory=list)
+    paces: list[ModelPaceUpdate] = msgspec.field(default_factory=list)
     # Whether it takes no new callers, since it is about to end.
     leaving: bool = False
     # The version of the configuration that is in force there, 0 without one.
-    version: int = 0
-    quotas: list[SpentOf] = msgspec.field(default_factory=list)
+    configuration_version: int = 0
+    quotas: list[QuotaSpending] = msgspec.field(default_factory=list)
 
 
-class Residents(msgspec.Struct, array_like=True, frozen=True):
+class EngineResidents(msgspec.Struct, array_like=True, frozen=True):
     """Hold what an engine holds, and which of its models are about to go."""
 
     target: str
     models: dict[str, list[str]]
-    closing: list[str]
+    unloading: list[str]
 
 
-class TargetTold(msgspec.Struct, array_like=True, frozen=True):
+class TargetRegistration(msgspec.Struct, array_like=True, frozen=True):
     """Hold what a target registered of itself, but for what it holds."""
 
     identity: str
@@ -94,7 +94,7 @@
     started_ms: int
 
 
-class StoreNews(msgspec.Struct, array_like=True):
+class StoreUpdate(msgspec.Struct, array_like=True):
     """Tell what the coordinator reads in the store, so that others needn't."""
 
     # How long ago the store last confirmed what is told here.
@@ -102,26 +102,26 @@
     # The store's revision up to which changes of targets are told.
     revision: int
     # Whether these are all targets, or those that have changed.
-    whole: bool
-    targets: list[TargetTold]
-    gone: list[str]
+    is_complete: bool
+    targets: list[TargetRegistration]
+    removed: list[str]
 
 
-class RemainingOf(msgspec.Struct, array_like=True, frozen=True):
+class QuotaRemaining(msgspec.Struct, array_like=True, frozen=True):
     """Tell what is left of a workspace's quota, and what a second asks of it, over all entries."""
 
     workspace: str
-    content: float
-    asked_per_s: float
+    remaining: float
+    demand_per_s: float
 
 
-class ReportCounted(msgspec.Struct, array_like=True, tag="counted"):
+class ReportAck(msgspec.Struct, array_like=True, tag="counted"):
     """Tell an entry which of its reports the next fleet report counts in."""
 
     # For the work at targets.
-    number: int
+    work_report_number: int
     # For what is left of quotas.
-    spent: int = 0
+    quota_report_number: int = 0
 
 
 class FleetReport(msgspec.Struct, array_like=True, tag="fleet"):
@@ -133,24 +133,24 @@
 
     token: int
     # Whether the coordinator may give orders; if not, another should take over.
-    ordering: bool
-    entries: int
+    can_issue_orders: bool
+    entry_count: int
     # The work at targets, or at those where it has changed.
-    work: list[WorkAt]
-    residents: list[Residents]
+    work: list[TargetWork]
+    residents: list[EngineResidents]
     # Milliseconds until a model that is being loaded is expected.
-    expected: dict[str, int]
+    model_ready_in_ms: dict[str, int]
     # Paces that have changed since the last report, over all entries.
-    paces: list[PaceOf] = msgspec.field(default_factory=list)
+    paces: list[ModelPaceUpdate] = msgspec.field(default_factory=list)
     # Entries that stay, the one that is told among them if it does.
-    staying: int = 0
-    store: StoreNews | None = None
+    staying_count: int = 0
+    store: StoreUpdate | None = None
     # The version of the newest configuration, 0 if none is known.
-    version: int = 0
+    configuration_version: int = 0
     # Quotas of which another rest is left than entries expect.
-    quotas: list[RemainingOf] = msgspec.field(default_factory=list)
+    quotas: list[QuotaRemaining] = msgspec.field(default_factory=list)
     # Entries that the bound on repeats is divided by; 0 while that isn't known.
-    sharers: int = 0
+    sharer_count: int = 0
 
 
 class StepDown(msgspec.Struct, array_like=True, tag="leaving"):
@@ -159,29 +159,29 @@
     last_order_age_ms: int
 
 
-class ProofRequest(msgspec.Struct, array_like=True, tag="prove"):
+class LeaseReadRequest(msgspec.Struct, array_like=True, tag="prove"):
     """Ask an entry to read the lease in the coordinator's place; `asked_ms` comes back."""
 
-    asked_ms: int
+    requested_ms: int
 
 
-class ProofAnswer(msgspec.Struct, array_like=True, tag="proof"):
+class LeaseReadReply(msgspec.Struct, array_like=True, tag="proof"):
     """Tell the coordinator who held the lease when an entry read it, if it could read it."""
 
     instance: str
-    asked_ms: int
-    reached_store: bool
+    requested_ms: int
+    store_reachable: bool
     holder: str
     token: int
 
 
-class ConfigurationWanted(msgspec.Struct, array_like=True, tag="wanted"):
+class ConfigurationRequest(msgspec.Struct, array_like=True, tag="wanted"):
     """Ask for the configuration of somebody who has told of a newer one."""
 
-    known: int
+    known_version: int
 
 
-class ConfigurationTold(msgspec.Struct, array_like=True, tag="configuration"):
+class EncodedConfiguration(msgspec.Struct, array_like=True, tag="configuration"):
     """Pass on a whole configuration, encoded, with a digest of what is encoded."""
 
     version: int
@@ -190,14 +190,14 @@
 
 
 PeerMessage = (
-    ProofRequest
-    | ProofAnswer
+    LeaseReadRequest
+    | LeaseReadReply
     | EntryReport
-    | ReportCounted
+    | ReportAck
     | FleetReport
     | StepDown
-    | ConfigurationWanted
-    | ConfigurationTold
+    | ConfigurationRequest
+    | EncodedConfiguration
 )
 
 _encoder = msgspec.msgpack.Encoder()
--- a/packages/protocol/src/mimosaspur_protocol/sse.py
+++ b/packages/protocol/src/mimosaspur_protocol/sse.py
@@ -32,12 +32,12 @@
         self.buffer += data.replace(b"\r\n", b"\n")
         *blocks, self.buffer = self.buffer.split(_BLANK_LINE)
         for block in blocks:
-            event = _event(block)
+            event = _parse_event(block)
             if event:
                 yield event
 
 
-def _event(block: bytes) -> EngineEvent | None:
+def _parse_event(block: bytes) -> EngineEvent | None:
     number = 0
     data: list[bytes] = []
     for line in block.split(b"\n"):
@@ -57,21 +57,21 @@
     return b"data: " + msgspec.json.encode(chunk) + _BLANK_LINE
 
 
-class WholeAnswer:
+class CompletionBuilder:
     """Join an engine's chunks into one chat completion."""
 
-    __slots__ = ("finish_reason", "first", "text", "usage")
+    __slots__ = ("finish_reason", "first_chunk", "text", "usage")
 
     def __init__(self) -> None:
-        self.first: dict[str, Any] = {}
+        self.first_chunk: dict[str, Any] = {}
         self.text: list[str] = []
         self.finish_reason: str | None = None
         self.usage: Any = None
 
-    def add(self, data: bytes) -> None:
+    def add_chunk(self, data: bytes) -> None:
         """Take in one chunk."""
         chunk = msgspec.json.decode(data)
-        self.first = self.first or chunk
+        self.first_chunk = self.first_chunk or chunk
         self.usage = chunk.get("usage") or self.usage
         for choice in chunk.get("choices", []):
             self.text.append(choice.get("delta", {}).get("content") or "")
@@ -82,9 +82,9 @@
         message = {"role": "assistant", "content": "".join(self.text)}
         choice = {"index": 0, "message": message, "finish_reason": self.finish_reason}
         completion = {
-            "id": self.first.get("id", ""),
+            "id": self.first_chunk.get("id", ""),
             "object": "chat.completion",
-            "created": self.first.get("created", 0),
+            "created": self.first_chunk.get("created", 0),
             "model": model,
             "choices": [choice],
         }
--- a/packages/state/src/mimosaspur_state/bundle.py
+++ b/packages/state/src/mimosaspur_state/bundle.py
@@ -23,7 +23,7 @@
     version: str
     memory_mb: int
 
-    def resident(self) -> str:
+    def resident_id(self) -> str:
         """Return the engine's name for it."""
         return f"{self.name}@{self.version}"
 
@@ -41,7 +41,7 @@
     domains: tuple[str, ...] = ()
     adapters: tuple[AdapterEntry, ...] = ()
 
-    def resident(self) -> str:
+    def resident_id(self) -> str:
         """Return the engine's name for it."""
         return f"{self.name}@{self.version}"
 
@@ -49,7 +49,7 @@
         """Return the memory on each accelerator with all adapters."""
         return self.memory_mb + sum(adapter.memory_mb for adapter in self.adapters)
 
-    def ceiling(self) -> int:
+    def replica_limit(self) -> int:
         """Return the most replicas that demand may bring it."""
         return max(self.replicas, self.max_replicas)
 
@@ -80,15 +80,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Served:
+class ServedName:
     """Say what a served name stands for in a bundle."""
 
     model: ModelEntry
     adapter: AdapterEntry | None = None
 
-    def resident(self) -> str:
+    def resident_id(self) -> str:
         """Return the engine's name for it."""
-        return self.adapter.resident() if self.adapter else self.model.resident()
+        return self.adapter.resident_id() if self.adapter else self.model.resident_id()
 
 
 @dataclass(slots=True)
@@ -97,7 +97,7 @@
 
     generation: int
     bundle: Bundle
-    served: dict[str, Served] = field(default_factory=dict)
+    served: dict[str, ServedName] = field(default_factory=dict)
     models: dict[str, ModelEntry] = field(default_factory=dict)
     services: dict[str, ServiceEntry] = field(default_factory=dict)
 
@@ -107,9 +107,9 @@
         index = cls(generation, bundle)
         for model in bundle.models:
             index.models[model.name] = model
-            index.served[model.name] = Served(model)
+            index.served[model.name] = ServedName(model)
             for adapter in model.adapters:
-                index.served[adapter.name] = Served(model, adapter)
+                index.served[adapter.name] = ServedName(model, adapter)
         for service in bundle.services:
             index.services[service.name] = service
         return index
@@ -134,31 +134,37 @@
         for name in (model.name, *(adapter.name for adapter in model.adapters)):
             _check_name(name)
             if name in seen:
-                raise _bad(f"{name!r} is named twice; one bundle holds one version of a name.")
+                raise _bundle_error(
+                    f"{name!r} is named twice; one bundle holds one version of a name."
+                )
             seen.add(name)
     services = [service.name for service in bundle.services]
     for name in services:
         _check_name(name)
         if services.count(name) > 1:
-            raise _bad(f"The service {name!r} is named twice.")
+            raise _bundle_error(f"The service {name!r} is named twice.")
 
 
 def _check_name(name: str) -> None:
     if not name or len(name) > MAX_NAME_LENGTH or not name.isprintable() or "@" in name:
-        raise _bad(f"{name!r} is no name; use 1 to {MAX_NAME_LENGTH} characters without '@'.")
+        raise _bundle_error(
+            f"{name!r} is no name; use 1 to {MAX_NAME_LENGTH} characters without '@'."
+        )
 
 
 def _check_model(model: ModelEntry) -> None:
     if not model.version or any(not adapter.version for adapter in model.adapters):
-        raise _bad(f"{model.name!r} or one of its adapters has an empty version.")
+        raise _bundle_error(f"{model.name!r} or one of its adapters has an empty version.")
     sizes = [model.memory_mb, *(adapter.memory_mb for adapter in model.adapters)]
     if min(sizes) <= 0:
-        raise _bad(f"{model.name!r} has a memory_mb that is not above 0.")
+        raise _bundle_error(f"{model.name!r} has a memory_mb that is not above 0.")
     if model.accelerators < 1 or model.replicas < 1:
-        raise _bad(f"{model.name!r} needs at least one accelerator and one replica.")
+        raise _bundle_error(f"{model.name!r} needs at least one accelerator and one replica.")
     if not 0 <= model.priority <= LOWEST_PRIORITY:
-        raise _bad(f"{model.name!r} has priority {model.priority}; use 0 to {LOWEST_PRIORITY}.")
+        raise _bundle_error(
+            f"{model.name!r} has priority {model.priority}; use 0 to {LOWEST_PRIORITY}."
+        )
 
 
-def _bad(detail: str) -> MimosaspurError:
+def _bundle_error(detail: str) -> MimosaspurError:
     return MimosaspurError(ResultCode.BAD_BUNDLE, detail)
--- a/packages/state/src/mimosaspur_state/clock.py
+++ b/packages/state/src/mimosaspur_state/clock.py
@@ -30,7 +30,7 @@
         return time.time_ns() // 1_000_000
 
 
-class SuspendClock:
+class BoottimeClock:
     """Read a clock that goes on while the machine is suspended, for leases."""
 
     __slots__ = ()
@@ -47,20 +47,20 @@
 class Deadline:
     """Hold a point in monotonic time after which a wait must end."""
 
-    __slots__ = ("at_ms", "clock")
+    __slots__ = ("expires_at_ms", "clock")
 
     def __init__(self, clock: Clock, timeout_ms: int) -> None:
         self.clock = clock
-        self.at_ms = clock.now_ms() + timeout_ms
+        self.expires_at_ms = clock.now_ms() + timeout_ms
 
-    def left_ms(self) -> int:
+    def remaining_ms(self) -> int:
         """Return the milliseconds left, never below zero."""
-        return max(0, self.at_ms - self.clock.now_ms())
+        return max(0, self.expires_at_ms - self.clock.now_ms())
 
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Return the seconds left, for library calls that take seconds."""
-        return self.left_ms() / 1000
+        return self.remaining_ms() / 1000
 
-    def passed(self) -> bool:
+    def has_passed(self) -> bool:
         """Tell whether the deadline has passed."""
-        return self.left_ms() == 0
+        return self.remaining_ms() == 0
--- a/packages/state/src/mimosaspur_state/counters.py
+++ b/packages/state/src/mimosaspur_state/counters.py
@@ -6,7 +6,7 @@
 
 PREFIX = "mimosaspur_"
 # Upper bounds of the histograms' buckets, in milliseconds: around the callers' objectives.
-BOUNDS_MS = (25, 50, 100, 200, 400, 800, 1_600, 3_200, 6_400, 12_800)
+BUCKET_BOUNDS_MS = (25, 50, 100, 200, 400, 800, 1_600, 3_200, 6_400, 12_800)
 
 
 class Counters:
@@ -26,25 +26,25 @@
 
     def observe(self, name: str, ms: float) -> None:
         """Count a duration in its histogram."""
-        buckets = self.histograms.setdefault(name, [0] * (len(BOUNDS_MS) + 1))
-        place = sum(ms > bound for bound in BOUNDS_MS)
+        buckets = self.histograms.setdefault(name, [0] * (len(BUCKET_BOUNDS_MS) + 1))
+        place = sum(ms > bound for bound in BUCKET_BOUNDS_MS)
         buckets[place] += 1
         self.sums[name] = self.sums.get(name, 0.0) + ms
 
-    def text(self) -> str:
+    def render(self) -> str:
         """Return all of it in the text format that metrics scrapers read."""
         lines = [
             f'{PREFIX}events_total{{event="{event}",result="{label}"}} {count}'
             for (event, label), count in sorted(self.counts.items())
         ]
         for name, buckets in sorted(self.histograms.items()):
-            lines += self._histogram(name, buckets)
+            lines += self._render_histogram(name, buckets)
         return "\n".join(lines) + "\n"
 
-    def _histogram(self, name: str, buckets: list[int]) -> list[str]:
+    def _render_histogram(self, name: str, buckets: list[int]) -> list[str]:
         total = 0
         lines = []
-        for bound, count in zip((*BOUNDS_MS, "+Inf"), buckets, strict=True):
+        for bound, count in zip((*BUCKET_BOUNDS_MS, "+Inf"), buckets, strict=True):
             total += count
             lines.append(f'{PREFIX}{name}_bucket{{le="{bound}"}} {total}')
         lines.append(f"{PREFIX}{name}_sum {self.sums[name]:g}")
--- a/packages/state/src/mimosaspur_state/directsettings.py
+++ b/packages/state/src/mimosaspur_state/directsettings.py
@@ -64,7 +64,7 @@
     orders: OrderBounds
     quotas: QuotaBounds = QuotaBounds(window_ms=8_000, overage=0.1, slack=0.0)
     # For how long credentials are relied on that nobody has confirmed; None for any time.
-    credentials_trusted_ms: int | None = None
+    credential_max_age_ms: int | None = None
     # What this machine offers: cores of common speed, and its link. 0 where it isn't known.
     cores: float = 0.0
     link_mbps: float = 0.0
--- a/packages/state/src/mimosaspur_state/engine.py
+++ b/packages/state/src/mimosaspur_state/engine.py
@@ -93,7 +93,7 @@
         """Return what became of an order, or None if the engine doesn't show it."""
         return next((item for item in self.orders if item.order_id == order_id), None)
 
-    def ready(self, name: str) -> bool:
+    def is_ready(self, name: str) -> bool:
         """Tell whether a model or adapter is ready to work."""
         found = self.resident(name)
         if found is None or found.kind is ResidentKind.IMPORT:
@@ -134,7 +134,7 @@
 
     def __init__(self, newest: int) -> None:
         super().__init__(f"the engine has seen fencing token {newest}")
-        self.newest = newest
+        self.newest_token = newest
 
 
 class OrderRefused(Exception):
--- a/packages/state/src/mimosaspur_state/fleet.py
+++ b/packages/state/src/mimosaspur_state/fleet.py
@@ -27,7 +27,7 @@
     """Hold an engine's own report, which lags behind the truth by some hundred ms."""
 
     residents: dict[str, frozenset[str]]
-    coming_adapters: frozenset[tuple[str, str]]
+    pending_adapters: frozenset[tuple[str, str]]
     busy: bool
     # Orders accepted since the engine started.
     sequence: int
@@ -40,7 +40,7 @@
     # When the engine started, in Unix milliseconds, 0 if it doesn't tell.
     started_ms: int = 0
     # When it will be gone, whatever it runs; None if it isn't about to be taken away.
-    gone_in_ms: int | None = None
+    terminates_in_ms: int | None = None
 
 
 class OrderKind(Enum):
@@ -67,7 +67,7 @@
     """Say what became of an order."""
 
     ACCEPTED = "accepted"
-    ALREADY_SO = "already_so"
+    ALREADY_APPLIED = "already_so"
     # Another order is under way, or the sequence has moved on.
     CONFLICT = "conflict"
     REFUSED = "refused"
@@ -76,13 +76,13 @@
 
 
 @dataclass(slots=True)
-class Work:
+class OutstandingWork:
     """Count what runs or waits at a target."""
 
     requests: int = 0
     # Prompt tokens of requests whose first token is still to come, by their rank at the engine; a
     # model that is read faster counts less.
-    unread: dict[int, float] = field(default_factory=dict)
+    prefill_tokens: dict[int, float] = field(default_factory=dict)
     # Prompt and output tokens of all of them.
     held_tokens: int = 0
     by_model: dict[str, int] = field(default_factory=dict)
--- a/packages/state/src/mimosaspur_state/ledger.py
+++ b/packages/state/src/mimosaspur_state/ledger.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True)
-class HeldOrder:
+class PendingOrder:
     """Hold an order until a report settles it; an unload has no memory of its own."""
 
     order_id: str
@@ -17,7 +17,7 @@
     memory_mb: int
     accelerators: tuple[int, ...]
     sent_at_ms: int
-    lost_answer: bool = False
+    unanswered: bool = False
 
 
 class MemoryLedger:
@@ -26,34 +26,34 @@
     Not safe for use by several threads: its one owner gives the orders and reads the reports.
     """
 
-    __slots__ = ("asked_at_ms", "held", "longest_order_delay_ms", "report")
+    __slots__ = ("requested_at_ms", "pending", "max_order_delay_ms", "report")
 
-    def __init__(self, *, longest_order_delay_ms: int) -> None:
-        self.longest_order_delay_ms = longest_order_delay_ms
-        self.held: dict[str, HeldOrder] = {}
+    def __init__(self, *, max_order_delay_ms: int) -> None:
+        self.max_order_delay_ms = max_order_delay_ms
+        self.pending: dict[str, PendingOrder] = {}
         self.report: EngineState | None = None
-        self.asked_at_ms = 0
+        self.requested_at_ms = 0
 
-    def settle(self, report: EngineState, *, asked_at_ms: int) -> list[HeldOrder]:
+    def apply_report(self, report: EngineState, *, requested_at_ms: int) -> list[PendingOrder]:
         """Take in a whole report by when it was asked for; return the orders given up as lost."""
-        if self.report is not None and asked_at_ms < self.asked_at_ms:
+        if self.report is not None and requested_at_ms < self.requested_at_ms:
             return []
         self.report = report
-        self.asked_at_ms = asked_at_ms
+        self.requested_at_ms = requested_at_ms
         lost = []
-        for order in list(self.held.values()):
-            if asked_at_ms < order.sent_at_ms:
+        for order in list(self.pending.values()):
+            if requested_at_ms < order.sent_at_ms:
                 continue
-            expired = asked_at_ms - order.sent_at_ms >= self.longest_order_delay_ms
-            shown = self.shows(order)
+            expired = requested_at_ms - order.sent_at_ms >= self.max_order_delay_ms
+            shown = self.is_reported(order)
             # A copy without an answer may still be on its way, to a restarted engine even.
-            if expired or (shown and not order.lost_answer):
-                del self.held[order.order_id]
+            if expired or (shown and not order.unanswered):
+                del self.pending[order.order_id]
                 if not shown:
                     lost.append(order)
         return lost
 
-    def shows(self, order: HeldOrder) -> bool:
+    def is_reported(self, order: PendingOrder) -> bool:
         """Tell whether the last report tells what became of an order."""
         if self.report is None:
             return False
@@ -61,10 +61,10 @@
             return True
         return any(item.order_id == order.order_id for item in self.report.residents)
 
-    def unsettled(self, resident: str) -> HeldOrder | None:
+    def unreported_order(self, resident: str) -> PendingOrder | None:
         """Return an order on this resident that the last report doesn't show."""
-        for order in self.held.values():
-            if order.resident == resident and not self.shows(order):
+        for order in self.pending.values():
+            if order.resident == resident and not self.is_reported(order):
                 return order
         return None
 
@@ -83,12 +83,12 @@
 
         headroom_mb must be free there besides; keep_free_mb, by accelerator, is promised already.
         """
-        free = self._free_besides(keep_free_mb)
+        free = self._free_after_reserve(keep_free_mb)
         fitting = [index for index, mb in enumerate(free) if mb >= memory_mb + headroom_mb]
         if len(fitting) < count:
             return None
         chosen = tuple(sorted(sorted(fitting, key=lambda index: free[index])[:count]))
-        self.held[order_id] = HeldOrder(
+        self.pending[order_id] = PendingOrder(
             order_id, OrderKind.LOAD, resident, memory_mb, chosen, now_ms
         )
         return chosen
@@ -106,44 +106,44 @@
         free = self.free_mb()
         if not accelerators or any(free[index] < memory_mb for index in accelerators):
             return None
-        self.held[order_id] = HeldOrder(
+        self.pending[order_id] = PendingOrder(
             order_id, OrderKind.LOAD, resident, memory_mb, accelerators, now_ms
         )
         return accelerators
 
-    def hold_unload(self, order_id: str, resident: str, *, now_ms: int) -> None:
+    def track_unload(self, order_id: str, resident: str, *, now_ms: int) -> None:
         """Remember an unload; its memory is free only when a report no longer shows it."""
-        self.held[order_id] = HeldOrder(order_id, OrderKind.UNLOAD, resident, 0, (), now_ms)
+        self.pending[order_id] = PendingOrder(order_id, OrderKind.UNLOAD, resident, 0, (), now_ms)
 
-    def sent(self, order_id: str, *, at_ms: int, answered: bool) -> None:
+    def record_send(self, order_id: str, *, at_ms: int, answered: bool) -> None:
         """Note when the last try to send an order ended."""
-        order = self.held.get(order_id)
+        order = self.pending.get(order_id)
         if order is None:
             return
-        order.lost_answer = order.lost_answer or not answered
+        order.unanswered = order.unanswered or not answered
         order.sent_at_ms = at_ms
 
-    def refused(self, order_id: str) -> None:
+    def release_refused(self, order_id: str) -> None:
         """Free an order that surely took no effect, unless an earlier copy may still."""
-        order = self.held.get(order_id)
-        if order and not order.lost_answer:
-            del self.held[order_id]
+        order = self.pending.get(order_id)
+        if order and not order.unanswered:
+            del self.pending[order_id]
 
-    def accelerators(self, resident: str) -> tuple[int, ...]:
+    def accelerators_of(self, resident: str) -> tuple[int, ...]:
         """Return where a resident is or is ordered to be, empty if nowhere."""
         shown = self.report.resident(resident) if self.report else None
         if shown:
             return shown.accelerators
-        order = self.unsettled(resident)
+        order = self.unreported_order(resident)
         return order.accelerators if order else ()
 
-    def counts(self, resident: str) -> bool:
+    def is_counted(self, resident: str) -> bool:
         """Tell whether a resident's memory is counted already."""
-        return bool(self.accelerators(resident))
+        return bool(self.accelerators_of(resident))
 
-    def ordered(self) -> list[HeldOrder]:
+    def unreported_loads(self) -> list[PendingOrder]:
         """Return the loads whose memory is held though the last report doesn't show them."""
-        loads = [order for order in self.held.values() if order.kind is OrderKind.LOAD]
+        loads = [order for order in self.pending.values() if order.kind is OrderKind.LOAD]
         return [order for order in loads if not self._counted_as_resident(order)]
 
     def capacity_mb(self) -> tuple[int, ...]:
@@ -158,7 +158,7 @@
         for item in self.report.residents:
             for index in item.accelerators:
                 used[index] += item.memory_mb
-        for order in self.held.values():
+        for order in self.pending.values():
             if not self._counted_as_resident(order):
                 for index in order.accelerators:
                     used[index] += order.memory_mb
@@ -169,12 +169,12 @@
         pairs = zip(self.capacity_mb(), self.used_mb(), strict=True)
         return tuple(max(0, capacity - used) for capacity, used in pairs)
 
-    def _counted_as_resident(self, order: HeldOrder) -> bool:
+    def _counted_as_resident(self, order: PendingOrder) -> bool:
         if self.report is None:
             return False
         # An engine holds a resident once, so a second load of it takes no more memory.
-        return self.report.resident(order.resident) is not None or self.shows(order)
+        return self.report.resident(order.resident) is not None or self.is_reported(order)
 
-    def _free_besides(self, keep_free_mb: Sequence[int]) -> list[int]:
+    def _free_after_reserve(self, keep_free_mb: Sequence[int]) -> list[int]:
         kept = list(keep_free_mb) or [0] * len(self.capacity_mb())
         return [free - keep for free, keep in zip(self.free_mb(), kept, strict=True)]
--- a/packages/state/src/mimosaspur_state/placement.py
+++ b/packages/state/src/mimosaspur_state/placement.py
@@ -41,7 +41,7 @@
         """Return the replicas that can serve: ready ones and those not unloaded yet."""
         return [replica for replica in self.replicas if replica.state is not ReplicaState.LOAD]
 
-    def on(self, target: str) -> list[Replica]:
+    def on_target(self, target: str) -> list[Replica]:
         """Return the replicas on one target (two while a version changes in place)."""
         return [replica for replica in self.replicas if replica.target == target]
 
--- a/packages/state/src/mimosaspur_state/policy.py
+++ b/packages/state/src/mimosaspur_state/policy.py
@@ -12,25 +12,25 @@
     """Name what can be switched off; the site is served without each of them."""
 
     # Adapters are placed ahead of the requests that will name them.
-    ADAPTERS_AHEAD = "adapters-ahead"
+    ADAPTER_PRELOAD = "adapters-ahead"
     # Models without a copy of their weights are loaded once for it.
-    COPIES = "copies"
+    WEIGHT_COPIES = "copies"
     # A load doesn't push out the last copy of a model's weights if another engine can take it.
-    LAST_COPY = "last-copy"
+    KEEP_LAST_COPY = "last-copy"
     # What a token costs is learnt for the engines and for each model.
     MODEL_PACE = "model-pace"
     # The part of a queue that is really waited for is learnt.
-    QUEUE_PART = "queue-part"
+    QUEUE_RATIO = "queue-part"
     # A request that will be late anyway goes behind those that can be on time.
-    LATE_BEHIND = "late-behind"
+    DEMOTE_LATE = "late-behind"
     # An entry that leaves takes what it surely ends.
-    LEAVING_TAKES = "leaving-takes"
+    ACCEPT_WHILE_LEAVING = "leaving-takes"
     # The coordinator reads the store for the other entries.
     STORE_READER = "store-reader"
     # Entries pass a newer configuration on to those that have not read it yet.
     PEER_CONFIGURATION = "peer-configuration"
     # The wait of an unload for its runs is reckoned.
-    UNLOAD_WAITS = "unload-waits"
+    UNLOAD_WAIT_ESTIMATE = "unload-waits"
     # Streams are moved off engines that are taken away.
     EVACUATION = "evacuation"
 
@@ -48,10 +48,10 @@
 
 def policy_without(names: str) -> Policy:
     """Return the policy without the mechanisms that a list names, with commas between them."""
-    return Policy(frozenset(_mechanisms(names)))
+    return Policy(frozenset(_parse_mechanisms(names)))
 
 
-def _mechanisms(names: str) -> Iterator[Mechanism]:
+def _parse_mechanisms(names: str) -> Iterator[Mechanism]:
     for name in filter(None, (part.strip() for part in names.split(","))):
         try:
             yield Mechanism(name)
--- a/packages/state/src/mimosaspur_state/requests.py
+++ b/packages/state/src/mimosaspur_state/requests.py
@@ -4,7 +4,7 @@
 from enum import Enum
 
 
-class Kind(Enum):
+class RequestKind(Enum):
     """Name what a request asks of a target."""
 
     CHAT = "chat"
@@ -16,7 +16,7 @@
     """Hold what a target needs to run one request."""
 
     request_id: str
-    kind: Kind
+    kind: RequestKind
     name: str
     method: str
     path: str
--- a/packages/state/src/mimosaspur_state/routes.py
+++ b/packages/state/src/mimosaspur_state/routes.py
@@ -118,7 +118,7 @@
             for digest in workspace.credentials:
                 self.by_credential[digest] = digest, workspace
 
-    def find(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix of the path, if the host has one."""
         for route in self.by_host.get(host, ()):
             if path.startswith(route.prefix):
