--- a/packages/state/src/mimosaspur_state/settings.py
+++ b/packages/state/src/mimosaspur_state/settings.py
@@ -31,11 +31,11 @@
     NAIVE = "naive"
 
 
-class _Checked(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class _StrictStruct(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Refuse unknown keys."""
 
 
-class InstanceSettings(_Checked, frozen=True):
+class InstanceSettings(_StrictStruct, frozen=True):
     """Say who this instance is; name, region and failure domain come from nowhere else."""
 
     name: str
@@ -43,7 +43,7 @@
     failure_domain: str
 
 
-class PlatformSettings(_Checked, frozen=True):
+class PlatformSettings(_StrictStruct, frozen=True):
     """Say where the platform is and how much of it this instance may use."""
 
     object_api: str
@@ -57,21 +57,21 @@
     instance_list_bytes_per_second: float = 5000
 
 
-class WeightStoreSettings(_Checked, frozen=True):
+class WeightStoreSettings(_StrictStruct, frozen=True):
     """State the weight store's limits, which the planner keeps for the whole region."""
 
     loads_per_second: float = 2
     at_once: int = 6
 
 
-class StatsdSettings(_Checked, frozen=True):
+class StatsdSettings(_StrictStruct, frozen=True):
     """Say where metrics go."""
 
     host: str = "127.0.0.1"
     port: int = 8125
 
 
-class EntrySettings(_Checked, frozen=True):
+class EntrySettings(_StrictStruct, frozen=True):
     """Set up the role entry."""
 
     listen: str
@@ -88,7 +88,7 @@
     planner: bool = True
 
 
-class PlannerSettings(_Checked, frozen=True):
+class PlannerSettings(_StrictStruct, frozen=True):
     """Set up the planner duty; move_cost is the deadlines a move must earn to be made."""
 
     interval_ms: int = 1000
@@ -103,7 +103,7 @@
     claims_swept_per_second: int = 10
 
 
-class TargetSettings(_Checked, frozen=True):
+class TargetSettings(_StrictStruct, frozen=True):
     """Set up the role target."""
 
     listen: str
@@ -123,7 +123,7 @@
     poll_ms: int = 250
 
 
-class PeerSettings(_Checked, frozen=True):
+class PeerSettings(_StrictStruct, frozen=True):
     """Set the timing of connections between our processes."""
 
     heartbeat_ms: int = 1000
@@ -131,7 +131,7 @@
     connect_ms: int = 1000
 
 
-class Settings(_Checked, frozen=True):
+class Settings(_StrictStruct, frozen=True):
     """Hold everything a daemon is told at its start."""
 
     role: Role
--- a/packages/transport/src/mimosaspur_transport/callers.py
+++ b/packages/transport/src/mimosaspur_transport/callers.py
@@ -83,7 +83,7 @@
         self.stop_accepting()
         deadline = Deadline(self.clock, grace_ms)
         with self.changed:
-            self.changed.wait_for(lambda: self.in_flight == 0, deadline.left_s())
+            self.changed.wait_for(lambda: self.in_flight == 0, deadline.remaining_s())
             left = self.in_flight
         log("ENTRY", "Stopped serving callers.", given_up=left)
         self.http.aborting.set()
--- a/packages/transport/src/mimosaspur_transport/gateway.py
+++ b/packages/transport/src/mimosaspur_transport/gateway.py
@@ -99,7 +99,7 @@
         left = length
         while left:
             piece: bytes = self.request.conn.rfile.read1(min(left, READ_BYTES))
-            if not piece or deadline.passed():
+            if not piece or deadline.has_passed():
                 raise _incomplete_body()
             pieces.append(piece)
             left -= len(piece)
--- a/packages/transport/src/mimosaspur_transport/jsonhttp.py
+++ b/packages/transport/src/mimosaspur_transport/jsonhttp.py
@@ -75,7 +75,7 @@
         value: object,
     ) -> JsonResponse:
         body = None if value is None else json.dumps(value).encode()
-        left_s = deadline.left_s()
+        left_s = deadline.remaining_s()
         response = pool.urlopen(
             method,
             path,
@@ -103,7 +103,7 @@
         # The socket's timeout covers one read only; a slow response must time out too.
         while part := response.read1(READ_BYTES):
             parts.append(part)
-            if deadline.passed():
+            if deadline.has_passed():
                 raise TimeoutError("the response did not end in time")
         whole = True
     finally:
--- a/packages/transport/src/mimosaspur_transport/targetlink.py
+++ b/packages/transport/src/mimosaspur_transport/targetlink.py
@@ -10,7 +10,7 @@
 from mimosaspur_coordination.hints import TargetHint
 from mimosaspur_protocol.codec import ProtocolError
 from mimosaspur_protocol.messages import BundleOffer
-from mimosaspur_protocol.messages import BundleWanted
+from mimosaspur_protocol.messages import BundleRequest
 from mimosaspur_protocol.messages import Cancel
 from mimosaspur_protocol.messages import Chunk
 from mimosaspur_protocol.messages import Draining
@@ -299,7 +299,7 @@
         self._compare_generation(wire, message.generation)
 
     @_handle.register
-    def _(self, message: BundleWanted, wire: Wire) -> None:
+    def _(self, message: BundleRequest, wire: Wire) -> None:
         packed = self.holder.encode_current()
         if packed and packed[0] > message.have:
             wire.send(BundleOffer(*packed))
@@ -310,7 +310,7 @@
 
     def _compare_generation(self, wire: Wire, target_generation: int) -> None:
         if self.holder.should_request(target_generation, self.clock.now_ms()):
-            wire.send(BundleWanted(self.holder.generation()))
+            wire.send(BundleRequest(self.holder.generation()))
 
 
 def _await_welcome(wire: Wire) -> tuple[Welcome, list[Message]]:
