--- a/features/steps/atmostonce_key_steps.py
+++ b/features/steps/atmostonce_key_steps.py
@@ -116,7 +116,7 @@
             world.book(f"{key} {row['fault']}", key=f"{key}-{row['fault']}").wait()
             check_error(world.last_reply(), "PLATFORM_DOWN", "not_run")
             assert int(world.last_reply().headers["retry-after"]) >= 1
-            duration_ms = world.bookings[-1].call.duration_ms()
+            took_ms = world.bookings[-1].call.duration_ms()
             assert took_ms <= int(row[key]), (row["fault"], key, took_ms)
         order_claims_fault(context, "nothing")
         for key in ("first", "second"):
