--- a/features/harness/direct_engine.py
+++ b/features/harness/direct_engine.py
@@ -109,7 +109,7 @@
         if order.expected_sequence != self.sequence or self.busy:
             return OrderOutcome.CONFLICT
         if self._holds(order):
-            return OrderOutcome.ALREADY_APPLIED
+            return OrderOutcome.ALREADY_SO
         self.sequence += 1
         self.accepted.append(order)
         if order.adapter:
--- a/packages/daemon/src/mimosaspur_daemon/direct/adaptercontroller.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/adaptercontroller.py
@@ -87,7 +87,7 @@
         self.residents[model].discard(adapter)
         self.on_change()
         outcome = await self.order(OrderKind.UNLOAD, model, adapter)
-        if outcome in (OrderOutcome.ACCEPTED, OrderOutcome.ALREADY_APPLIED):
+        if outcome in (OrderOutcome.ACCEPTED, OrderOutcome.ALREADY_SO):
             self.adapter_loaded_ms.pop(evicted, None)
             # A report that was asked for meanwhile showed it still.
             self.residents.get(model, set()).discard(adapter)
--- a/packages/daemon/src/mimosaspur_daemon/direct/enginecontroller.py
+++ b/packages/daemon/src/mimosaspur_daemon/direct/enginecontroller.py
@@ -179,7 +179,7 @@
 
     async def _unload(self, victim: str) -> bool:
         outcome = await self._send_next_order(OrderKind.UNLOAD, victim)
-        if outcome not in (OrderOutcome.ACCEPTED, OrderOutcome.ALREADY_APPLIED):
+        if outcome not in (OrderOutcome.ACCEPTED, OrderOutcome.ALREADY_SO):
             return False
         if self.confirmed_by_report:
             # The engine may be busy with something else: nothing is loaded in the model's place
@@ -202,7 +202,7 @@
                 self.busy = False
             elif not await self._wait_until_loaded(model, begun_ms, load_ms):
                 return False
-        elif outcome is not OrderOutcome.ALREADY_APPLIED:
+        elif outcome is not OrderOutcome.ALREADY_SO:
             if outcome is OrderOutcome.UNKNOWN and self.behind(self.expected_sequence):
                 self.late_loads[model] = self.clock.now_ms() + LATE_ORDER_TIMEOUT_MS
             return False
--- a/packages/state/src/mimosaspur_state/fleet.py
+++ b/packages/state/src/mimosaspur_state/fleet.py
@@ -67,7 +67,7 @@
     """Say what became of an order."""
 
     ACCEPTED = "accepted"
-    ALREADY_APPLIED = "already_so"
+    ALREADY_SO = "already_so"
     # Another order is under way, or the sequence has moved on.
     CONFLICT = "conflict"
     REFUSED = "refused"
