--- a/features/steps/direct_workspaces_steps.py
+++ b/features/steps/direct_workspaces_steps.py
@@ -1,4 +1,4 @@
-"""Steps of callers' keys and the workspaces that hold them."""
+"""Steps for callers' API keys and their workspaces."""
 
 import asyncio
 import json
@@ -66,7 +66,7 @@
     context.entry.confirm(age_ms=age_ms)
     trusted_ms = None if trusted == "for ever" else int(trusted.split()[1])
     state = context.entry.state
-    state.settings = replace(state.settings, credentials_trusted_ms=trusted_ms)
+    state.settings = replace(state.settings, credential_max_age_ms=trusted_ms)
 
 
 @when('a caller sends the headers "{headers}"')
@@ -158,10 +158,10 @@
 
 @when("a version comes in force in which {change}")
 def change_version(context: Context, change: str) -> None:
-    newest = with_workspaces(CHANGES.get(change, {}), version=3)
+    changed = with_workspaces(CHANGES.get(change, {}), version=3)
     if change == "there are no workspaces":
-        newest = replace(newest, workspaces=None)
-    assert context.entry.state.apply_configuration(newest, source="test")
+        changed = replace(changed, workspaces=None)
+    assert context.entry.state.apply_configuration(changed, source="test")
 
 
 @when("the caller sends a request with the key n-1 on the same connection")
@@ -195,8 +195,8 @@
     stripped = values[0].strip(b" \t")
     scheme, blank, token = stripped.partition(b" ")
     token = token.lstrip(b" ")
-    letters = token.rstrip(b"=")
-    if scheme.lower() != b"bearer" or not blank or not letters or set(letters) - TOKEN_BYTES:
+    unpadded = token.rstrip(b"=")
+    if scheme.lower() != b"bearer" or not blank or not unpadded or set(unpadded) - TOKEN_BYTES:
         return None
     return credential_digest(token)
 
@@ -204,8 +204,8 @@
 @then("no key stands in the entry's log, metrics, stacks or messages to other entries")
 def check_no_key(context: Context) -> None:
     state = context.entry.state
-    reading, writing = os.pipe()
-    log = EventLog("entry-0", fd=writing)
+    read_end, write_end = os.pipe()
+    log = EventLog("entry-0", fd=write_end)
     log.counters = state.log.counters
     state.log = log
 
@@ -216,7 +216,7 @@
         log.always("stacks", **task_stacks())
 
     run(context, ask_all())
-    logged = os.read(reading, 1_000_000)
+    logged = os.read(read_end, 1_000_000)
     told = encode_peer(build_entry_report(state)) + encode_peer(
         encode_configuration(state.configuration)
     )
