--- a/features/steps/replace_steps.py
+++ b/features/steps/replace_steps.py
@@ -122,7 +122,7 @@
     closed = site.daemons["entry-2"].started
 
     def closed_as_idle() -> bool:
-        return "the connection rests" in closed.error_text()
+        return "Closed an idle connection." in closed.error_text()
 
     wait_for(closed_as_idle, "a connection is closed as idle")
     models = [model("notes", replicas=2), model("dispatch"), model(name, replicas=3)]
