--- a/features/environment.py
+++ b/features/environment.py
@@ -5,12 +5,12 @@
 
 from mimosaspur_load.processes import Processes
 
-ANNOUNCE_S = 15.0
+ANNOUNCE_TIMEOUT_S = 15.0
 
 
 def before_scenario(context: Context, scenario: Scenario) -> None:
     """Prepare the scenario's processes."""
-    context.processes = Processes(announce_s=ANNOUNCE_S)
+    context.processes = Processes(announce_s=ANNOUNCE_TIMEOUT_S)
 
 
 def after_scenario(context: Context, scenario: Scenario) -> None:
--- a/features/harness/bundles_world.py
+++ b/features/harness/bundles_world.py
@@ -23,7 +23,7 @@
 def roll_notes(context: Context, version: int) -> None:
     """Write, approve and roll a version of "notes"."""
     write_version(context.site, version)
-    context.rolled = context.site.put_in_force(f"notes-{version}")
+    context.rolled = context.site.roll_approved(f"notes-{version}")
 
 
 def await_generation(context: Context, names: tuple[str, ...], wanted: int) -> None:
--- a/features/harness/callers_world.py
+++ b/features/harness/callers_world.py
@@ -36,7 +36,7 @@
 TIMEOUT_MESSAGE = "the condition was not met within the timeout"
 
 wait_for = partial(
-    control.wait_for, what=TIMEOUT_MESSAGE, bound_s=TIMEOUT_S, poll_s=POLL_INTERVAL_S
+    control.wait_for, what=TIMEOUT_MESSAGE, timeout_s=TIMEOUT_S, poll_interval_s=POLL_INTERVAL_S
 )
 
 
--- a/features/harness/control.py
+++ b/features/harness/control.py
@@ -8,27 +8,31 @@
 
 from mimosaspur_load import control
 
-BOUND_S = 20.0
-POLL_S = 0.02
-CALL_S = 10.0
+WAIT_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.02
+CALL_TIMEOUT_S = 10.0
 UNTIL_CLEARED = -1
 
 
-call = partial(control.call, timeout_s=CALL_S)
+call = partial(control.call, timeout_s=CALL_TIMEOUT_S)
 
 
 def wait_for(
-    condition: Callable[[], bool], what: str, *, bound_s: float = BOUND_S, poll_s: float = POLL_S
+    condition: Callable[[], bool],
+    what: str,
+    *,
+    timeout_s: float = WAIT_TIMEOUT_S,
+    poll_interval_s: float = POLL_INTERVAL_S,
 ) -> None:
     """Wait on a condition within a bound; fail naming it."""
-    end = time.monotonic() + bound_s
+    end = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > end:
-            raise AssertionError(f"not within {bound_s} s: {what}")
-        time.sleep(poll_s)
+            raise AssertionError(f"not within {timeout_s} s: {what}")
+        time.sleep(poll_interval_s)
 
 
-def at_once(*acts: Callable[[], None]) -> None:
+def run_concurrently(*acts: Callable[[], None]) -> None:
     """Run acts in threads of their own, begun together, until the last has ended."""
     threads = [Thread(target=act) for act in acts]
     for thread in threads:
@@ -47,6 +51,6 @@
     call(address, "DELETE", "/faults")
 
 
-def struck(address: str) -> int:
+def injected_fault_count(address: str) -> int:
     """Return how often the faults of a stand-in struck."""
     return sum(fault["struck"] for fault in call(address, "GET", "/faults")["faults"])
--- a/features/harness/drain_world.py
+++ b/features/harness/drain_world.py
@@ -12,9 +12,9 @@
 from harness.caller import chat_call
 from harness.caller import service_call
 from harness.control import wait_for
+from harness.repeater import Repeater
 from harness.site import REGION
 from harness.site import Site
-from harness.steady import Steady
 from mimosaspur_protocol.messages import Hello
 from mimosaspur_protocol.messages import Welcome
 from mimosaspur_standins.answers import expected_answer
@@ -37,11 +37,11 @@
     sent: int = 0
     failures: list[Any] = field(default_factory=list)
     versions: list[int] = field(default_factory=list)
-    steady: Steady | None = None
+    steady: Repeater | None = None
 
     def start(self) -> "Traffic":
         """Start sending."""
-        self.steady = Steady(self._send_request)
+        self.steady = Repeater(self._send_request)
         return self
 
     def stop(self) -> None:
--- a/features/harness/loop.py
+++ b/features/harness/loop.py
@@ -14,9 +14,9 @@
 
 def run(context: Context, work: Coroutine[Any, Any, T]) -> T:
     """Run a coroutine on the scenario's event loop."""
-    runner = getattr(context, "runner_of_loop", None)
+    runner = getattr(context, "async_runner", None)
     if runner is None:
-        runner = context.runner_of_loop = asyncio.Runner()
+        runner = context.async_runner = asyncio.Runner()
         context.add_cleanup(runner.close)
 
     async def bounded() -> T:
--- a/features/harness/memory_world.py
+++ b/features/harness/memory_world.py
@@ -45,7 +45,7 @@
 REQUESTS_PER_SECOND = 1000.0
 
 
-wait_for = partial(control.wait_for, bound_s=TIMEOUT_S, poll_s=POLL_INTERVAL_S)
+wait_for = partial(control.wait_for, timeout_s=TIMEOUT_S, poll_interval_s=POLL_INTERVAL_S)
 
 
 def assert_holds(condition: Callable[[], bool], ms: int, what: str) -> None:
--- a/features/harness/reach_world.py
+++ b/features/harness/reach_world.py
@@ -8,9 +8,9 @@
 
 from harness.caller import chat_call
 from harness.control import call
+from harness.repeater import Repeater
 from harness.site import Site
 from harness.site import model
-from harness.steady import Steady
 from mimosaspur_standins.answers import expected_answer
 
 SAMPLE_TOKENS = 2
@@ -68,7 +68,7 @@
     site: Site
     entry: str
     allowed_residents: dict[str, set[str]]
-    repeaters: list[Steady] = field(default_factory=list)
+    repeaters: list[Repeater] = field(default_factory=list)
     request_counts: dict[str, int] = field(default_factory=dict)
     failures: list[str] = field(default_factory=list)
     started_at: float = 0.0
@@ -79,12 +79,14 @@
         self.request_counts = dict.fromkeys(self.allowed_residents, 0)
         for name in self.allowed_residents:
             send = partial(self._send_request, name)
-            self.repeaters.append(Steady(send, pause_s=SAMPLE_INTERVAL_S, end_s=CALL_TIMEOUT_S))
+            self.repeaters.append(
+                Repeater(send, interval_s=SAMPLE_INTERVAL_S, stop_timeout_s=CALL_TIMEOUT_S)
+            )
 
     def stop(self) -> None:
         """Stop sampling and wait for the last answers."""
         for steady in self.repeaters:
-            steady.over.set()
+            steady.stop_requested.set()
         for steady in self.repeaters:
             steady.stop()
 
--- a/features/harness/site.py
+++ b/features/harness/site.py
@@ -28,7 +28,7 @@
 
 REGION = "alajuela"
 DOMAINS = ("terminal-norte", "terminal-sur", "hangar-oeste")
-DAEMON = (sys.executable, "-m", "mimosaspur_daemon.main")
+DAEMON_COMMAND = (sys.executable, "-m", "mimosaspur_daemon.main")
 CAPACITY_MB = 1000
 QUICK_PLANNER = {"interval_ms": 200, "lease_ms": 1500, "status_grace_ms": 3000}
 QUICK_PEERS = {"heartbeat_ms": 200, "silent_ms": 800, "connect_ms": 500}
@@ -47,7 +47,7 @@
     relays: dict[str, Relay] = field(default_factory=dict)
     folder: Path = field(default_factory=lambda: Path(tempfile.mkdtemp(prefix="site-")))
 
-    def begin(self, *, api_options: tuple[str, ...] = ()) -> None:
+    def start(self, *, api_options: tuple[str, ...] = ()) -> None:
         """Start the platform's stand-ins."""
         self.api = self.processes.start_stand_in("objectapi", *api_options).address
         options = ("--loads-per-second", "50", "--at-once", "6", "--ms-per-gb", "50")
@@ -141,7 +141,7 @@
         """Freeze a daemon."""
         self.daemons[name].started.process.send_signal(signal.SIGSTOP)
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """Let a frozen daemon go on."""
         self.daemons[name].started.process.send_signal(signal.SIGCONT)
 
@@ -159,7 +159,7 @@
     def roll(self, name: str, models: list[dict[str, Any]], services: tuple[str, ...] = ()) -> int:
         """Write, approve and roll a bundle; return its generation."""
         self.write(name, models, services)
-        return self.put_in_force(name).roll.generation
+        return self.roll_approved(name).roll.generation
 
     def write(
         self,
@@ -179,11 +179,11 @@
         rolls.write_bundle(store, clock, bundle_from_value(value), operator=operator)
         rolls.approve(store, clock, name, operator="luis")
 
-    def put_in_force(self, name: str, *, operator: str = "ana") -> rolls.RollResult:
+    def roll_approved(self, name: str, *, operator: str = "ana") -> rolls.RollResult:
         """Roll a bundle that has been approved."""
         return rolls.roll(self.store(), SystemClock(), name, operator=operator)
 
-    def await_targets(self) -> None:
+    def wait_for_targets(self) -> None:
         """Wait until every target has reported its memory."""
         expected = sum(1 for daemon in self.daemons.values() if daemon.role == "target")
 
@@ -194,7 +194,7 @@
 
         wait_for(reported, "every target's status")
 
-    def await_served(self, entry: str, *models: str) -> None:
+    def wait_until_served(self, entry: str, *models: str) -> None:
         """Wait until an entry serves models."""
         for name in models:
             wait_for(partial(self.serves, entry, name), f"{entry} serves {name}")
@@ -275,14 +275,14 @@
     def _start(self, name: str, settings: dict[str, Any]) -> Started:
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(settings), encoding="utf-8")
-        return self.processes.start([*DAEMON, "--settings", str(path)])
+        return self.processes.start([*DAEMON_COMMAND, "--settings", str(path)])
 
 
-def begin_site(context: Context) -> Site:
+def start_scenario_site(context: Context) -> Site:
     """Start the platform's stand-ins of a scenario's site."""
     site = Site(context.processes)
     context.site = site
-    site.begin()
+    site.start()
     return site
 
 
--- a/features/harness/site_parts.py
+++ b/features/harness/site_parts.py
@@ -18,7 +18,7 @@
         """Set the mode: pass, freeze, freeze_answers, cut or refuse."""
         call(self.control, "POST", "/mode", {"mode": mode})
 
-    def strike(self, mode: str) -> None:
+    def interrupt(self, mode: str) -> None:
         """Break the open connections so, and let new ones pass."""
         self.mode(mode)
         self.mode("pass")
--- a/features/steps/answers_steps.py
+++ b/features/steps/answers_steps.py
@@ -15,9 +15,9 @@
 from harness.control import wait_for
 from harness.site import QUICK_PEERS
 from harness.site import Site
-from harness.site import begin_site
 from harness.site import model
-from harness.tables import table_of
+from harness.site import start_scenario_site
+from harness.tables import table_rows
 from mimosaspur_standins.answers import expected_answer
 
 MODEL = "notes"
@@ -34,14 +34,14 @@
 
 @given('a site for long answers with two entries and the target "{target}"')
 def start_long_site(context: Context, target: str) -> None:
-    site = begin_site(context)
+    site = start_scenario_site(context)
     start_long_target(site, target)
     for number in range(2):
         site.entry(f"entry-{number}", settings={"peers": SLOW_RESTART_PEERS})
-    site.await_targets()
+    site.wait_for_targets()
     site.roll("first", [model(MODEL, replicas=2)])
     for number in range(2):
-        site.await_served(f"entry-{number}", MODEL)
+        site.wait_until_served(f"entry-{number}", MODEL)
     context.earlier = all_run_ids(site)
 
 
@@ -77,7 +77,7 @@
 
 @then("a long answer comes whole from one run, whatever happens in its middle:")
 def check_each_fault(context: Context) -> None:
-    for row in table_of(context):
+    for row in table_rows(context):
         context.earlier = all_run_ids(context.site)
         ask_and_break(context, row["kind"], row["fault"], LONG_ANSWER_TOKENS)
         check_complete_answer(context.call, CONTENT, case=row.cells)
@@ -134,11 +134,11 @@
 
 
 def set_target_relay_mode(context: Context, call: Call, mode: str) -> None:
-    context.site.relays["model-0"].strike(mode)
+    context.site.relays["model-0"].interrupt(mode)
 
 
 def set_engine_relay_mode(context: Context, call: Call, mode: str) -> None:
-    context.site.relays["engine of model-0"].strike(mode)
+    context.site.relays["engine of model-0"].interrupt(mode)
 
 
 def cut_twice(context: Context, call: Call) -> None:
@@ -224,7 +224,7 @@
 
 @then("the engine cancels a run that nobody waits for any more:")
 def check_cancelled(context: Context) -> None:
-    for row in table_of(context):
+    for row in table_rows(context):
         context.earlier = all_run_ids(context.site)
         ask_and_break(context, row["kind"], row["fault"], CANCELLED_ANSWER_TOKENS)
         (run,) = new_run_ids(context)
@@ -258,7 +258,7 @@
 
 @then("callers at both entries each have their own whole answer, whatever happens meanwhile:")
 def check_together(context: Context) -> None:
-    for row in table_of(context):
+    for row in table_rows(context):
         context.earlier = all_run_ids(context.site)
         callers = int(row["callers"])
         same = row["contents"] == "the same"
--- a/features/steps/atmostonce_key_steps.py
+++ b/features/steps/atmostonce_key_steps.py
@@ -16,9 +16,9 @@
 from harness.control import UNTIL_CLEARED
 from harness.control import add_fault
 from harness.control import clear_faults
-from harness.control import struck
+from harness.control import injected_fault_count
 from harness.control import wait_for
-from harness.tables import table_of
+from harness.tables import table_rows
 from mimosaspur_coordination.claimsweep import ClaimSweep
 from mimosaspur_state import keys
 from mimosaspur_state.clock import SystemClock
@@ -45,7 +45,7 @@
 @when('the key "{key}" begins to book "{body}" through "{entry}" within {deadline:d} ms')
 def begin_slow(context: Context, key: str, body: str, entry: str, deadline: int) -> None:
     context.world.book(body, entry=entry, key=key, deadline_ms=deadline)
-    wait_for(lambda: struck(context.world.site.api) > 0, "the claim is asked for")
+    wait_for(lambda: injected_fault_count(context.world.site.api) > 0, "the claim is asked for")
 
 
 @when('the key "{key}" books "{body}" {count:d} times at once through both entries')
@@ -110,7 +110,7 @@
 @then("keyed bookings are refused so under each outage of the claims, and run once after it:")
 def check_outages(context: Context) -> None:
     world = context.world
-    for row in table_of(context):
+    for row in table_rows(context):
         order_claims_fault(context, row["fault"])
         for key in ("first", "second"):
             world.book(f"{key} {row['fault']}", key=f"{key}-{row['fault']}").wait()
@@ -171,7 +171,7 @@
 @when("the frozen targets go on")
 def resume_targets(context: Context) -> None:
     for name in TARGETS:
-        context.world.site.go_on(name)
+        context.world.site.resume(name)
 
 
 @then('the claim of "{key}" is released')
--- a/features/steps/atmostonce_steps.py
+++ b/features/steps/atmostonce_steps.py
@@ -20,10 +20,10 @@
 from harness.control import UNTIL_CLEARED
 from harness.control import add_fault
 from harness.control import clear_faults
-from harness.control import struck
+from harness.control import injected_fault_count
 from harness.control import wait_for
-from harness.site import begin_site
-from harness.tables import table_of
+from harness.site import start_scenario_site
+from harness.tables import table_rows
 
 CLAIMS = "PUT /objects/claims"
 SLOW_MS = 600
@@ -42,7 +42,7 @@
 
 def start(context: Context, *, service_relay: bool) -> None:
     """Start the site; a relay accepts connections even if the service is down."""
-    site = begin_site(context)
+    site = start_scenario_site(context)
     context.world = BookingWorld(site)
     for name in TARGETS:
         work = ("--work-ms", str(WORK_MS))
@@ -51,7 +51,7 @@
         )
     for name in ENTRIES:
         site.entry(name, relay=True)
-    site.await_targets()
+    site.wait_for_targets()
     site.roll("first", [], (SERVICE,))
     for name in ENTRIES:
         wait_for(partial(_serves, context.world, name), f"{name} reaches {SERVICE}")
@@ -102,7 +102,7 @@
         booking.wait()
     wait_for(lambda: _past_deadline(world), "the deadline has passed")
     for name in TARGETS:
-        world.site.go_on(name)
+        world.site.resume(name)
 
 
 def _past_deadline(world: BookingWorld) -> bool:
@@ -167,7 +167,7 @@
 @then("bookings with a key and without one end so under each fault:")
 def check_faults(context: Context) -> None:
     wrong = []
-    for number, row in enumerate(table_of(context)):
+    for number, row in enumerate(table_rows(context)):
         try:
             _check_fault(context.world, f"{number}", row["when"], row["fault"], row["told"])
         except AssertionError as error:
@@ -198,7 +198,7 @@
         )
         world.check_reported_outcome(booking)
     for name in world.running_targets():
-        world.site.go_on(name)
+        world.site.resume(name)
     # A run that ends later must not contradict the reported outcome.
     world.await_idle()
     for booking in pair:
@@ -212,7 +212,7 @@
     for name in TARGETS:
         if not world.is_running(name):
             site.restart(name)
-        site.go_on(name)
+        site.resume(name)
     world.start_services()
     clear_faults(site.api)
     for name in world.site.services:
@@ -235,4 +235,4 @@
 @then("the services were called {count:d} times")
 def check_calls(context: Context, count: int) -> None:
     services = context.world.site.services.values()
-    assert sum(struck(started.address) for started in services) == count
+    assert sum(injected_fault_count(started.address) for started in services) == count
--- a/features/steps/bundles_rolls_steps.py
+++ b/features/steps/bundles_rolls_steps.py
@@ -17,11 +17,11 @@
 from harness.bundles_world import roll_notes
 from harness.bundles_world import write_version
 from harness.control import add_fault
-from harness.control import at_once
 from harness.control import call
+from harness.control import run_concurrently
 from harness.control import wait_for
 from harness.drain_world import read_generation
-from harness.steady import Steady
+from harness.repeater import Repeater
 from mimosaspur_coordination import rolls
 from mimosaspur_state.codes import ResultCode
 from mimosaspur_state.errors import MimosaspurError
@@ -38,7 +38,7 @@
     def run(name: str) -> None:
         context.samples[name].append(read_generation(context.site, name))
 
-    context.samplers = [Steady(partial(run, name), pause_s=SAMPLE_EVERY_S) for name in ENTRIES]
+    context.samplers = [Repeater(partial(run, name), interval_s=SAMPLE_EVERY_S) for name in ENTRIES]
 
 
 @when('version {version:d} of "notes" is rolled but the answer of the object API is lost')
@@ -57,12 +57,12 @@
     def run(operator: str, version: int) -> None:
         gate.wait()
         try:
-            result = context.site.put_in_force(f"notes-{version}", operator=operator)
+            result = context.site.roll_approved(f"notes-{version}", operator=operator)
             context.outcomes[operator] = result.roll
         except MimosaspurError as error:
             context.outcomes[operator] = error
 
-    at_once(partial(run, one, first), partial(run, two, second))
+    run_concurrently(partial(run, one, first), partial(run, two, second))
 
 
 @when('versions {first:d} to {last:d} of "notes" are rolled while connections are cut')
@@ -73,7 +73,7 @@
         call(site.relays[name].control, "POST", "/delay", {"ms": HANDOVER_DELAY_MS})
     cut = itertools.cycle((*TARGETS, *(f"api of {name}" for name in PROCESSES)))
 
-    steady = Steady(lambda: site.relays[next(cut)].mode("cut"), pause_s=CUT_EVERY_S)
+    steady = Repeater(lambda: site.relays[next(cut)].mode("cut"), interval_s=CUT_EVERY_S)
     try:
         for version in range(first, last + 1):
             roll_notes(context, version)
--- a/features/steps/bundles_steps.py
+++ b/features/steps/bundles_steps.py
@@ -23,7 +23,7 @@
 from harness.drain_world import Traffic
 from harness.drain_world import read_generation
 from harness.site import Site
-from harness.site import begin_site
+from harness.site import start_scenario_site
 from mimosaspur_standins.answers import expected_answer
 
 IDLE_MS = 300
@@ -31,7 +31,7 @@
 
 @given('a bundle site of two targets and two entries that serves version 1 of "notes"')
 def start_bundle_site(context: Context) -> None:
-    site = begin_site(context)
+    site = start_scenario_site(context)
     # Each process has its own relay to the object API, so that single ones can be cut.
     for name in TARGETS:
         api = site.relay(f"api of {name}", site.api).address
@@ -40,10 +40,10 @@
         api = site.relay(f"api of {name}", site.api).address
         # Idle connections close early: the bundle must not depend on an open one.
         site.entry(name, api=api, peer_idle_ms=IDLE_MS)
-    site.await_targets()
+    site.wait_for_targets()
     roll_notes(context, 1)
     for name in ENTRIES:
-        site.await_served(name, "notes")
+        site.wait_until_served(name, "notes")
     await_generation(context, PROCESSES, 1)
 
 
@@ -117,7 +117,7 @@
 
 @when('"{name}" wakes up')
 def wake_up(context: Context, name: str) -> None:
-    context.site.go_on(name)
+    context.site.resume(name)
 
 
 @when('version {version:d} of "notes" is rolled')
@@ -148,12 +148,12 @@
 @then('"notes" is still answered through both entries')
 def check_answered(context: Context) -> None:
     for name in ENTRIES:
-        context.site.await_served(name, "notes")
+        context.site.wait_until_served(name, "notes")
 
 
 @then('"{entry}" answers "notes" by version {version:d} in generation {wanted:d}')
 def check_entry(context: Context, entry: str, version: int, wanted: int) -> None:
-    context.site.await_served(entry, "notes")
+    context.site.wait_until_served(entry, "notes")
     assert _answering(context.site, entry) == version
     assert read_generation(context.site, entry) == wanted
 
@@ -161,7 +161,7 @@
 @then('both entries answer "notes" by version {version:d}')
 def check_both(context: Context, version: int) -> None:
     for name in ENTRIES:
-        context.site.await_served(name, "notes")
+        context.site.wait_until_served(name, "notes")
         assert _answering(context.site, name) == version
 
 
--- a/features/steps/drain_steps.py
+++ b/features/steps/drain_steps.py
@@ -13,9 +13,9 @@
 from harness.caller import chat_call
 from harness.caller import service_call
 from harness.control import add_fault
-from harness.control import at_once
 from harness.control import call
 from harness.control import clear_faults
+from harness.control import run_concurrently
 from harness.control import wait_for
 from harness.drain_world import Traffic
 from harness.drain_world import get_json
@@ -25,8 +25,8 @@
 from harness.drain_world import wait_until_drained
 from harness.operators import COMMAND
 from harness.site import REGION
-from harness.site import begin_site
 from harness.site import model
+from harness.site import start_scenario_site
 from mimosaspur_standins.answers import expected_answer
 from mimosaspur_state import keys
 from mimosaspur_state.records import DrainOrder
@@ -43,26 +43,26 @@
 
 @given('a drain site of three model targets with "notes" twice and "dispatch" once')
 def start_drain_site(context: Context) -> None:
-    site = begin_site(context)
+    site = start_scenario_site(context)
     options = ("--token-ms", str(TOKEN_MS))
     for name in TARGETS:
         site.model_target(name, relay=True, engine_options=options)
     for name in ENTRIES:
         site.entry(name, wait_ready_ms=WAIT_READY_MS)
-    site.await_targets()
+    site.wait_for_targets()
     site.roll("first", [model("notes", replicas=2), model("dispatch")])
     for name in ENTRIES:
-        site.await_served(name, "notes", "dispatch")
+        site.wait_until_served(name, "notes", "dispatch")
     wait_for(lambda: len(targets_holding(site, "notes", "ready")) == 2, "two replicas of notes")
 
 
 @given('a drain site with the service "{service}" on {targets}')
 def start_service_site(context: Context, service: str, targets: str) -> None:
-    site = begin_site(context)
+    site = start_scenario_site(context)
     for number in range(1 if targets == "one target" else 2):
         site.service_target(f"carrier-{number}", service)
     site.entry("entry-0")
-    site.await_targets()
+    site.wait_for_targets()
     site.roll("first", [], (service,))
     address = site.daemons["entry-0"].public
     wait_for(lambda: service_call(address, service, "x").wait().status == 200, "the service")
@@ -94,7 +94,7 @@
         "the lagging list shows all",
     )
     for name in ENTRIES:
-        site.await_served(name, "notes", "dispatch")
+        site.wait_until_served(name, "notes", "dispatch")
 
 
 @given("no drain target's engine hears of loads")
@@ -150,7 +150,7 @@
 def order_both(context: Context, name: str) -> None:
     context.leaving = sorted(targets_holding(context.site, name, "ready"))
     assert len(context.leaving) == 2, context.leaving
-    at_once(*(partial(_order, context, target) for target in context.leaving))
+    run_concurrently(*(partial(_order, context, target) for target in context.leaving))
 
 
 @when('"{name}" registers for "{service}"')
@@ -165,7 +165,7 @@
     site, target = context.site, context.drained
     end = context.ordered_at + seconds
     # The scenario bounds the time since the order after which no new work may arrive.
-    wait_for(lambda: time.monotonic() >= end, "the order's age", bound_s=seconds + 1)
+    wait_for(lambda: time.monotonic() >= end, "the order's age", timeout_s=seconds + 1)
     before = run_count(site, target)
     sent = [traffic.sent for traffic in context.traffic]
     for traffic, sent_before in zip(context.traffic, sent, strict=True):
@@ -233,16 +233,16 @@
 def check_readiness(context: Context, name: str, state: str) -> None:
     wanted = 200 if state == "ready" else 503
     address = context.site.daemons[name].public
-    wait_for(lambda: get_json(address, "/readyz")[0] == wanted, f"{name} is {state}", bound_s=3)
+    wait_for(lambda: get_json(address, "/readyz")[0] == wanted, f"{name} is {state}", timeout_s=3)
 
 
 @then('"{name}" still serves "{service}" {seconds:d} s later')
 def check_still_served(context: Context, name: str, service: str, seconds: int) -> None:
     end = context.ordered_at + seconds
-    wait_for(lambda: time.monotonic() >= end, "the order's age", bound_s=seconds + 1)
+    wait_for(lambda: time.monotonic() >= end, "the order's age", timeout_s=seconds + 1)
     assert name in service_targets(context.site, service), "it deregistered itself"
     before = run_count(context.site, name)
-    wait_for(lambda: run_count(context.site, name) > before, f"new work at {name}", bound_s=3)
+    wait_for(lambda: run_count(context.site, name) > before, f"new work at {name}", timeout_s=3)
 
 
 def _order(context: Context, target: str, *, by_command: bool = False) -> None:
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -11,8 +11,8 @@
 from harness.caller import chat_call
 from harness.caller import service_call
 from harness.control import wait_for
-from harness.site import begin_site
 from harness.site import model
+from harness.site import start_scenario_site
 from mimosaspur_standins.answers import expected_answer
 
 TOKENS = 16
@@ -20,13 +20,13 @@
 
 @given('a site with two entries, three model targets and the service "{service}"')
 def start_site(context: Context, service: str) -> None:
-    site = begin_site(context)
+    site = start_scenario_site(context)
     for number in range(3):
         site.model_target(f"model-{number}")
     site.service_target("dispatch-0", service)
     for number in range(2):
         site.entry(f"entry-{number}")
-    site.await_targets()
+    site.wait_for_targets()
 
 
 @given('the site has rolled the models "{first}" and "{second}"')
@@ -34,7 +34,7 @@
     site = context.site
     site.roll("first", [model(first, replicas=2), model(second)], ("bookings",))
     for name in ("entry-0", "entry-1"):
-        site.await_served(name, first, second)
+        site.wait_until_served(name, first, second)
 
 
 @when('a caller asks "{name}" "{content}" through "{entry}", {kind}')
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -11,7 +11,7 @@
 from harness.control import add_fault
 from harness.control import call
 from harness.control import clear_faults
-from harness.control import struck
+from harness.control import injected_fault_count
 from harness.control import wait_for
 from harness.reach_world import Sampler
 from harness.reach_world import engine_logs
@@ -21,7 +21,7 @@
 from harness.reach_world import served_names
 from harness.site import REGION
 from harness.site import Site
-from harness.site import begin_site
+from harness.site import start_scenario_site
 from mimosaspur_state import keys
 
 SLOW_API_DELAY_MS = 800
@@ -33,17 +33,17 @@
 
 @given('a platform site with two entries that serves "{bundle}"')
 def start_platform_site(context: Context, bundle: str) -> None:
-    site = begin_site(context)
+    site = start_scenario_site(context)
     for number in range(2):
         site.model_target(f"model-{number}")
     for number in range(2):
         site.entry(f"entry-{number}")
-    site.await_targets()
+    site.wait_for_targets()
     site.roll("first", parse_models(bundle))
     context.bundle = bundle
     context.names = served_names(bundle)
     for name in ("entry-0", "entry-1"):
-        site.await_served(name, *context.names)
+        site.wait_until_served(name, *context.names)
     wait_for(partial(is_roll_complete, site, bundle), "the first bundle's replicas")
 
 
@@ -52,7 +52,7 @@
     samplers = _start_samplers(context, context.bundle)
     add_fault(context.site.api, fault)
     time.sleep(seconds)
-    assert struck(context.site.api) > 0
+    assert injected_fault_count(context.site.api) > 0
     clear_faults(context.site.api)
     _stop_samplers(context, samplers)
 
@@ -69,7 +69,7 @@
     site, rolled_at = context.site, time.monotonic()
     # Poll the engines: reads of the placement records are slowed down too.
     expected = set(residents_by_name(bundle).values())
-    wait_for(lambda: _resident_ids(site) == expected, "the roll in a slow API", bound_s=30)
+    wait_for(lambda: _resident_ids(site) == expected, "the roll in a slow API", timeout_s=30)
     print(f"MEASURED slow roll done after {time.monotonic() - rolled_at:.1f} s")
     _stop_samplers(context, samplers)
 
@@ -92,7 +92,7 @@
 def check_rolled(context: Context, bound: int) -> None:
     site = context.site
     is_rolled = partial(is_roll_complete, site, context.bundle)
-    wait_for(is_rolled, f"{context.bundle}; {_resident_ids(site)}", bound_s=bound)
+    wait_for(is_rolled, f"{context.bundle}; {_resident_ids(site)}", timeout_s=bound)
     print(f"MEASURED rolled after {time.monotonic() - context.rolled_at:.1f} s")
 
 
@@ -104,7 +104,7 @@
         if engine.process.poll() is None
     }
     context.site.engines = running
-    wait_for(partial(is_roll_complete, context.site, bundle), bundle, bound_s=bound)
+    wait_for(partial(is_roll_complete, context.site, bundle), bundle, timeout_s=bound)
 
 
 @when('the platform\'s API answers 429 to "{calls}" for {seconds:d} s')
@@ -134,11 +134,11 @@
         site.kill(name)
         site.restart(name)
     for name in ("entry-0", "entry-1"):
-        site.await_served(name, *context.names)
+        site.wait_until_served(name, *context.names)
     wait_for(
         lambda: _planner_holder(site) in site.daemons,
         "an entry holds the planner lease",
-        bound_s=15,
+        timeout_s=15,
     )
 
 
@@ -150,7 +150,7 @@
         wait_for(
             partial(_lease_renewed, site, _lease_version(site)),
             "a renewal of the planner lease",
-            bound_s=20,
+            timeout_s=20,
         )
     context.planner = _planner_holder(site)
     _measure_call_rates(context, seconds)
@@ -176,7 +176,7 @@
         site.api, "late", match="PUT /objects/placement", count=1, delay_ms=LATE_WRITE_DELAY_MS
     )
     roll_platform(context, bundle)
-    wait_for(lambda: struck(site.api) == 1, "a write of the planning entry")
+    wait_for(lambda: injected_fault_count(site.api) == 1, "a write of the planning entry")
     site.pause(context.former_planner)
     context.lost_at = time.monotonic()
 
@@ -209,7 +209,7 @@
     wait_for(
         lambda: _planner_holder(site) != context.former_planner,
         "another entry holds the planner lease",
-        bound_s=bound,
+        timeout_s=bound,
     )
     print(f"MEASURED another plans after {time.monotonic() - context.lost_at:.1f} s")
 
@@ -217,7 +217,7 @@
 @when("the planning entry that was paused goes on")
 def resume_planning(context: Context) -> None:
     context.versions = _placement_versions(context)
-    context.site.go_on(context.former_planner)
+    context.site.resume(context.former_planner)
 
 
 @then("its late writes changed nothing and each resident was loaded once")
--- a/features/steps/reachability_records_steps.py
+++ b/features/steps/reachability_records_steps.py
@@ -9,11 +9,11 @@
 from behave.runner import Context
 
 from harness.control import add_fault
-from harness.control import at_once
 from harness.control import clear_faults
-from harness.control import struck
+from harness.control import injected_fault_count
+from harness.control import run_concurrently
 from harness.site import REGION
-from harness.site import begin_site
+from harness.site import start_scenario_site
 from mimosaspur_coordination import replicas
 from mimosaspur_state import keys
 from mimosaspur_state.bundle import Bundle
@@ -31,7 +31,7 @@
 
 @given("a placement record whose copies at two targets say that {copies}")
 def prepare_record(context: Context, copies: str) -> None:
-    site = begin_site(context)
+    site = start_scenario_site(context)
     others = (Replica("t3", "1", ReplicaState.READY),) if "third" in copies else ()
     alone = copies == "the other one stays"
     key = keys.placement(REGION, "a")
@@ -56,8 +56,8 @@
     else:
         add_fault(api, "lose_answer", match="PUT /objects", count=1)
     context.left = {}
-    at_once(*(partial(_leave, context, target) for target in LEAVING_TARGETS))
-    assert struck(api) > 0 or not any(context.left.values())
+    run_concurrently(*(partial(_leave, context, target) for target in LEAVING_TARGETS))
+    assert injected_fault_count(api) > 0 or not any(context.left.values())
     clear_faults(api)
 
 
--- a/features/steps/reachability_steps.py
+++ b/features/steps/reachability_steps.py
@@ -11,7 +11,7 @@
 from harness.control import add_fault
 from harness.control import call
 from harness.control import clear_faults
-from harness.control import struck
+from harness.control import injected_fault_count
 from harness.control import wait_for
 from harness.reach_world import Sampler
 from harness.reach_world import engine_logs
@@ -20,7 +20,7 @@
 from harness.reach_world import residents_by_name
 from harness.reach_world import served_names
 from harness.site import QUICK_PLANNER
-from harness.site import begin_site
+from harness.site import start_scenario_site
 
 MS_PER_SECOND = 1000
 ROLL_TIMEOUT_S = 20.0
@@ -35,7 +35,7 @@
     context: Context, engines: str, *, policy: str = "normal", rate: int = 50, at_once: int = 6
 ) -> None:
     """Start one entry and a target for each engine."""
-    site = begin_site(context)
+    site = start_scenario_site(context)
     if at_once < 6:
         options = ("--loads-per-second", str(rate), "--at-once", str(at_once))
         slow = (*options, "--ms-per-gb", "5000")
@@ -45,7 +45,7 @@
     limits = {"loads_per_second": rate, "at_once": at_once}
     settings = {"policy": policy, "weight_store": limits, "planner": QUICK_PLANNER}
     site.entry("entry-0", settings=settings)
-    site.await_targets()
+    site.wait_for_targets()
 
 
 @given("a reach site with engines of {engines} MB and the policy {policy}")
@@ -61,7 +61,7 @@
 
 @given("a reach site of two {mb:d} MB engines that ignore fencing tokens")
 def start_ignoring(context: Context, mb: int) -> None:
-    site = begin_site(context)
+    site = start_scenario_site(context)
     for number in range(2):
         options = ("--capacity-mb", str(mb), "--ignore-fencing")
         site.model_target(
@@ -71,7 +71,7 @@
             longest_order_delay_ms=MAX_ORDER_DELAY_MS,
         )
     site.entry("entry-0")
-    site.await_targets()
+    site.wait_for_targets()
 
 
 @given('the reach site serves "{bundle}"')
@@ -79,7 +79,7 @@
     context.site.roll("first", parse_models(bundle))
     context.names = served_names(bundle)
     context.bundle = bundle
-    context.site.await_served("entry-0", *context.names)
+    context.site.wait_until_served("entry-0", *context.names)
 
 
 @when('every name is sampled while the reach site rolls "{bundle}"')
@@ -95,7 +95,9 @@
     sampler.start()
     site.roll("second", parse_models(bundle))
     try:
-        wait_for(partial(is_roll_complete, site, bundle), "the roll's end", bound_s=ROLL_TIMEOUT_S)
+        wait_for(
+            partial(is_roll_complete, site, bundle), "the roll's end", timeout_s=ROLL_TIMEOUT_S
+        )
         enough = partial(sampler.all_counts_exceed, MIN_SAMPLES)
         wait_for(enough, "samples of every name")
     finally:
@@ -147,7 +149,7 @@
     for name in context.names:
         left_s = context.lost_at + bound - time.monotonic()
         what = f"{name} after {bound} s; records {site.replicas(name)}"
-        wait_for(partial(site.serves, entry, name), what, bound_s=left_s)
+        wait_for(partial(site.serves, entry, name), what, timeout_s=left_s)
     print(f"MEASURED served again after {time.monotonic() - context.lost_at:.1f} s")
 
 
@@ -220,4 +222,4 @@
 
 
 def _fault_applied(address: str, count: int) -> bool:
-    return struck(address) >= count
+    return injected_fault_count(address) >= count
--- a/features/steps/refusals_steps.py
+++ b/features/steps/refusals_steps.py
@@ -16,11 +16,11 @@
 from harness.caller import chat_call
 from harness.control import UNTIL_CLEARED
 from harness.control import add_fault
-from harness.control import struck
+from harness.control import injected_fault_count
 from harness.control import wait_for
 from harness.site import Site
-from harness.site import begin_site
 from harness.site import model
+from harness.site import start_scenario_site
 from mimosaspur_coordination.admission import AdmissionQueue
 from mimosaspur_coordination.admission import Ticket
 from mimosaspur_state.clock import Deadline
@@ -41,7 +41,7 @@
     "a queue of {queue:d} and {service:d} ms a run"
 )
 def start_narrow_site(context: Context, queue: int, service: int) -> None:
-    site = begin_site(context)
+    site = start_scenario_site(context)
     options = ("--slots", "1", "--token-ms", TOKEN_MS)
     site.model_target(
         "model-0", engine_options=options, slots=1, queue=queue, service_time_ms=service
@@ -54,7 +54,7 @@
     "a tenth of requests and {burst:d} more"
 )
 def start_wide_site(context: Context, count: int, burst: int) -> None:
-    site = begin_site(context)
+    site = start_scenario_site(context)
     for number in range(count):
         site.model_target(f"model-{number}", slots=32)
     _serve_model(site, replicas=count, retry_ratio=0.1, retry_burst=burst)
@@ -62,10 +62,10 @@
 
 def _serve_model(site: Site, *, replicas: int, **entry: Any) -> None:
     site.entry("entry-0", workers=64, max_in_flight=48, **entry)
-    site.await_targets()
+    site.wait_for_targets()
     site.roll("first", [model(MODEL, replicas=replicas)])
     wait_for(lambda: list(site.replicas(MODEL).values()) == ["ready"] * replicas, "replicas")
-    site.await_served("entry-0", MODEL)
+    site.wait_until_served("entry-0", MODEL)
 
 
 @when("the engines' work suffers {fault}")
@@ -119,7 +119,7 @@
 def check_asked(context: Context, most: int) -> None:
     for call in context.calls:
         call.wait()
-    count = sum(struck(started.address) for started in context.site.engines.values())
+    count = sum(injected_fault_count(started.address) for started in context.site.engines.values())
     assert len(context.calls) <= count <= most, count
 
 
--- a/features/steps/replace_steps.py
+++ b/features/steps/replace_steps.py
@@ -10,7 +10,7 @@
 
 from harness.caller import chat_call
 from harness.caller import service_call
-from harness.control import CALL_S
+from harness.control import CALL_TIMEOUT_S
 from harness.control import wait_for
 from harness.drain_world import Traffic
 from harness.site import QUICK_PLANNER
@@ -50,7 +50,7 @@
 def replace_entry(context: Context, name: str) -> None:
     site: Site = context.site
     host, _, port = site.daemons[name].public.rpartition(":")
-    kept = HTTPConnection(host, int(port), timeout=CALL_S)
+    kept = HTTPConnection(host, int(port), timeout=CALL_TIMEOUT_S)
     kept.request("GET", "/healthz")
     assert kept.getresponse().read()
     # The entry closes first, which leaves its address in TIME_WAIT.
@@ -61,8 +61,8 @@
 
 @then('"{name}" is served through both drain entries again')
 def check_served(context: Context, name: str) -> None:
-    context.site.await_served("entry-0", name)
-    context.site.await_served("entry-1", name)
+    context.site.wait_until_served("entry-0", name)
+    context.site.wait_until_served("entry-1", name)
 
 
 @then("no engine was given an order for the replacement")
@@ -113,7 +113,7 @@
 def start_entry_with_idle_timeout(context: Context) -> None:
     site: Site = context.site
     site.entry("entry-2", peer_idle_ms=IDLE_TIMEOUT_MS)
-    site.await_served("entry-2", "notes", "dispatch")
+    site.wait_until_served("entry-2", "notes", "dispatch")
 
 
 @when('the model "{name}" is rolled in while its connections rest')
@@ -143,7 +143,7 @@
     site: Site = context.site
     platform = {"object_api": site.api, "instance_list": site.api, "watch_ms": LONG_WATCH_MS}
     site.entry("entry-2", settings={"platform": platform})
-    site.await_served("entry-2", "notes")
+    site.wait_until_served("entry-2", "notes")
 
 
 @when("the watching entry is stopped")
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -19,10 +19,10 @@
 from harness.control import clear_faults
 from harness.control import wait_for
 from harness.site import Site
-from harness.site import begin_site
 from harness.site import model
+from harness.site import start_scenario_site
 from harness.site_parts import Daemon
-from harness.tables import table_of
+from harness.tables import table_rows
 from mimosaspur_standins.answers import expected_answer
 
 SERVICE = "bookings"
@@ -37,7 +37,7 @@
 
 @given("a site whose every connection runs through a relay")
 def start_relayed_site(context: Context) -> None:
-    site = begin_site(context)
+    site = start_scenario_site(context)
     api = site.relay("api", site.api).address
     for number in range(2):
         site.model_target(
@@ -62,17 +62,17 @@
         workers=6,
     )
     site.entry("entry-1", api=api)
-    site.await_targets()
+    site.wait_for_targets()
     site.roll("first", [model("notes", replicas=2)], (SERVICE,))
     for entry in ("entry-0", "entry-1"):
-        site.await_served(entry, "notes")
+        site.wait_until_served(entry, "notes")
 
 
 @then("silent callers leave room for others and are let go of:")
 def check_silent_callers(context: Context) -> None:
     site = context.site
     entry = site.daemons["entry-0"]
-    for row in table_of(context):
+    for row in table_rows(context):
         silence = row["silence"]
         callers = [SILENT_CALLERS[silence](entry) for _ in range(MAX_IN_FLIGHT - 1)]
         check_served(site, "entry-0", "notes@1", silence)
@@ -127,7 +127,7 @@
 
 @then("after each silence a new request is served within {seconds:d} s:")
 def check_after_silence(context: Context, seconds: int) -> None:
-    for row in table_of(context):
+    for row in table_rows(context):
         SILENCES[row["silence"]](context.site)
         started_s = time.monotonic()
         check_served(context.site, "entry-1", "notes@1", row["silence"])
@@ -138,7 +138,7 @@
 def freeze_connections(site: Site, *names: str) -> None:
     """Freeze the open connections through relays; new ones work."""
     for name in names:
-        site.relays[name].strike("freeze")
+        site.relays[name].interrupt("freeze")
 
 
 def freeze_target_connections(site: Site) -> None:
@@ -197,7 +197,7 @@
     freeze_all_connections(site)
     site.roll("second", [model("notes", replicas=2), model("quiz")], (SERVICE,))
     for entry in ("entry-0", "entry-1"):
-        site.await_served(entry, "quiz")
+        site.wait_until_served(entry, "quiz")
 
 
 @then("a booking runs once, whatever happens while it runs:")
@@ -205,7 +205,7 @@
     site = context.site
     address = site.daemons["entry-1"].public
     wait_for(partial(is_service_reachable, address), f"{SERVICE} reachable through the entry")
-    for row in table_of(context):
+    for row in table_rows(context):
         silence = row["silence"]
         call = service_call(address, SERVICE, silence, headers={"X-Deadline-Ms": "4000"})
         wait_for(partial(has_booking_started, site, silence), f"{silence}: start of the booking")
@@ -240,11 +240,11 @@
 
 def freeze_then_cut(site: Site) -> None:
     freeze_connections(site, "dispatch-0")
-    site.relays["dispatch-0"].strike("cut")
+    site.relays["dispatch-0"].interrupt("cut")
 
 
 def cut_service_connection(site: Site) -> None:
-    site.relays["service of dispatch-0"].strike("cut")
+    site.relays["service of dispatch-0"].interrupt("cut")
 
 
 BOOKING_FAULTS: dict[str, Callable[[Site], None]] = {
@@ -252,7 +252,7 @@
         site, "service of dispatch-0"
     ),
     "the entry's connection freezes": lambda site: freeze_connections(site, "dispatch-0"),
-    "the service's connection is cut": lambda site: site.relays["service of dispatch-0"].strike(
+    "the service's connection is cut": lambda site: site.relays["service of dispatch-0"].interrupt(
         "cut"
     ),
     "the entry's connection freezes and is cut then": freeze_then_cut,
--- a/standins/src/mimosaspur_standins/__main__.py
+++ b/standins/src/mimosaspur_standins/__main__.py
@@ -12,7 +12,7 @@
 from .service import Service
 from .weightstore import WeightStore
 
-FRESH_ADDRESS = "127.0.0.1:0"
+EPHEMERAL_ADDRESS = "127.0.0.1:0"
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 CLASSES: dict[str, type[StandIn]] = {
     "objectapi": ObjectApi,
@@ -23,38 +23,38 @@
 }
 
 
-def parser() -> argparse.ArgumentParser:
+def build_parser() -> argparse.ArgumentParser:
     """Describe the command line; each option is an argument of the stand-in's class."""
     top = argparse.ArgumentParser(prog="mimosaspur_standins")
     kinds = top.add_subparsers(dest="stand_in", required=True)
     parts = {kind: kinds.add_parser(kind) for kind in CLASSES}
     for kind, part in parts.items():
         part.add_argument("--name", default=kind)
-        part.add_argument("--address", default=FRESH_ADDRESS)
-    add_objectapi(parts["objectapi"])
-    add_weightstore(parts["weightstore"])
-    add_engine(parts["engine"])
+        part.add_argument("--address", default=EPHEMERAL_ADDRESS)
+    add_objectapi_options(parts["objectapi"])
+    add_weightstore_options(parts["weightstore"])
+    add_engine_options(parts["engine"])
     parts["service"].add_argument("--work-ms", type=float, default=0)
     parts["relay"].add_argument("--to", required=True)
-    parts["relay"].add_argument("--control", default=FRESH_ADDRESS)
+    parts["relay"].add_argument("--control", default=EPHEMERAL_ADDRESS)
     return top
 
 
-def add_objectapi(part: argparse.ArgumentParser) -> None:
+def add_objectapi_options(part: argparse.ArgumentParser) -> None:
     """Add the object API's options; a rate of 0 is no limit."""
     part.add_argument("--writes-per-second", type=int, default=0)
     part.add_argument("--reads-per-second", type=int, default=0)
     part.add_argument("--lag-ms", type=float, default=0)
 
 
-def add_weightstore(part: argparse.ArgumentParser) -> None:
+def add_weightstore_options(part: argparse.ArgumentParser) -> None:
     """Add the weight store's options; a rate of 0 is no limit."""
     part.add_argument("--loads-per-second", type=int, default=0)
     part.add_argument("--at-once", type=int, default=8)
     part.add_argument("--ms-per-gb", type=float, default=10)
 
 
-def add_engine(part: argparse.ArgumentParser) -> None:
+def add_engine_options(part: argparse.ArgumentParser) -> None:
     """Add the engine's options."""
     part.add_argument("--capacity-mb", type=int, action="append", required=True)
     part.add_argument("--slots", type=int, default=8)
@@ -73,7 +73,7 @@
     """Serve until a signal says to stop."""
     # Blocked before any thread starts, so that only sigwait gets them.
     signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
-    options = vars(parser().parse_args())
+    options = vars(build_parser().parse_args())
     stand_in = CLASSES[options.pop("stand_in")](**options)
     stand_in.start()
     sys.stdout.write(json.dumps(stand_in.announcement()) + "\n")
--- a/standins/src/mimosaspur_standins/base.py
+++ b/standins/src/mimosaspur_standins/base.py
@@ -13,15 +13,15 @@
 from .faults import Fault
 from .faults import Faults
 from .messages import ANY
-from .messages import Handle
 from .messages import Reply
 from .messages import Request
-from .messages import fits
+from .messages import RouteHandler
+from .messages import matches_path
 
 MS_PER_SECOND = 1000
 MAX_BACKLOG = 128
-DRAIN_BYTES = 65536
-NEVER_STRUCK = ("/faults", "/log", "/counts")
+RECV_BYTES = 65536
+FAULT_EXEMPT_PATHS = ("/faults", "/log", "/counts")
 
 
 def split_address(address: str) -> tuple[str, int]:
@@ -57,15 +57,15 @@
         request = self.read_request()
         stand_in = self.server.stand_in
         fault = None
-        if request.path not in NEVER_STRUCK:
-            stand_in.observe(request)
-            fault = stand_in.faults.strike(f"{self.command} {self.path}")
+        if request.path not in FAULT_EXEMPT_PATHS:
+            stand_in.on_request(request)
+            fault = stand_in.faults.take_matching(f"{self.command} {self.path}")
         self.sent_bytes = 0
         if fault is None:
             self.send(stand_in.answer(request))
         else:
-            self.suffer(fault, request)
-        stand_in.account(request, self.sent_bytes)
+            self.inject_fault(fault, request)
+        stand_in.on_reply_sent(request, self.sent_bytes)
 
     # http.server sets these names.
     do_GET = serve
@@ -91,17 +91,17 @@
             pass
         return b"".join(parts)
 
-    def suffer(self, fault: Fault, request: Request) -> None:
+    def inject_fault(self, fault: Fault, request: Request) -> None:
         """Let a fault strike a request."""
         answer = self.server.stand_in.answer
         match fault.kind:
             case "drop":
-                self.hang_up()
+                self.drop_connection()
             case "lose_answer":
                 answer(request)
-                self.hang_up()
+                self.drop_connection()
             case "late":
-                self.hang_up()
+                self.drop_connection()
                 sleep_ms(fault.delay_ms)
                 answer(request)
             case "slow":
@@ -112,7 +112,7 @@
             case "error":
                 self.send(Reply(fault.status, {"error": "ordered fault"}))
 
-    def hang_up(self) -> None:
+    def drop_connection(self) -> None:
         """Close the connection now."""
         self.close_connection = True
         with contextlib.suppress(OSError):  # the peer was quicker
@@ -122,7 +122,7 @@
         """Keep the connection open until the peer closes it."""
         self.close_connection = True
         with contextlib.suppress(OSError):  # a reset is a close too
-            while self.connection.recv(DRAIN_BYTES):
+            while self.connection.recv(RECV_BYTES):
                 pass
 
     def send(self, reply: Reply) -> None:
@@ -183,7 +183,7 @@
     def __init__(self, *, name: str, address: str) -> None:
         self.name = name
         self.faults = Faults()
-        self.routes: list[tuple[str, str, Handle]] = []
+        self.routes: list[tuple[str, str, RouteHandler]] = []
         self.server = Server(split_address(address), Handler)
         self.server.stand_in = self
         host, port = self.server.server_address[:2]
@@ -205,20 +205,20 @@
         """Give what a harness reads to find the stand-in."""
         return {"name": self.name, "address": self.address}
 
-    def observe(self, request: Request) -> None:
+    def on_request(self, request: Request) -> None:
         """See each request before any fault strikes it."""
 
-    def account(self, request: Request, sent_bytes: int) -> None:
+    def on_reply_sent(self, request: Request, sent_bytes: int) -> None:
         """See the size of each whole answer's body after it is sent."""
 
-    def route(self, method: str, path: str, handle: Handle) -> None:
+    def route(self, method: str, path: str, handle: RouteHandler) -> None:
         """Add a route; the first that fits answers; a path ending in `*` fits any rest."""
         self.routes.append((method, path, handle))
 
     def answer(self, request: Request) -> Reply:
         """Do a request."""
         for method, path, handle in self.routes:
-            if method not in (request.method, ANY) or not fits(path, request):
+            if method not in (request.method, ANY) or not matches_path(path, request):
                 continue
             try:
                 return handle(request)
@@ -228,7 +228,7 @@
 
     def add_fault(self, request: Request) -> Reply:
         """Add a fault."""
-        self.faults.add(request.mapping())
+        self.faults.add(request.json_object())
         return Reply()
 
     def list_faults(self, request: Request) -> Reply:
--- a/standins/src/mimosaspur_standins/counting.py
+++ b/standins/src/mimosaspur_standins/counting.py
@@ -6,7 +6,7 @@
 from .base import now_ms
 
 
-class SecondWindow:
+class SlidingWindow:
     """Remember the calls of the last second and the most in any; the caller locks."""
 
     def __init__(self) -> None:
--- a/standins/src/mimosaspur_standins/engine.py
+++ b/standins/src/mimosaspur_standins/engine.py
@@ -6,11 +6,11 @@
 from .base import StandIn
 from .messages import Reply
 from .messages import Request
-from .orders import OlderFencingError
 from .orders import Order
+from .orders import StaleFencingTokenError
 from .prefixes import PrefixCache
 from .residents import Residents
-from .streams import Workshop
+from .streams import Scheduler
 
 
 class Engine(StandIn):
@@ -41,9 +41,9 @@
             load_ms=load_ms,
             unload_ms=unload_ms,
             ignore_fencing=ignore_fencing,
-            forget=self.cache.forget,
+            on_unload=self.cache.evict_resident,
         )
-        self.workshop = Workshop(
+        self.scheduler = Scheduler(
             residents=self.residents,
             cache=self.cache,
             slots=slots,
@@ -56,57 +56,57 @@
         self.route("DELETE", "/v1/streams/*", self.cancel)
         self.route("GET", "/admin/state", lambda request: Reply(value=self.residents.state()))
         self.route("POST", "/admin/orders", self.order)
-        self.route("GET", "/admin/load", lambda request: Reply(value=self.workshop.load()))
+        self.route("GET", "/admin/load", lambda request: Reply(value=self.scheduler.load()))
         self.route("GET", "/admin/cache-events", self.cache_events)
         self.route("GET", "/log", self.report_log)
 
     def complete(self, request: Request) -> Reply:
         """Answer a chat completion, whole or as a stream."""
-        body = request.mapping()
+        body = request.json_object()
         resident = self.residents.acquire(str(body["model"]))
         if resident is None:
             return Reply(404, {"error": f"{body['model']} is not ready here"})
         request_id = request.headers.get("X-Request-Id") or uuid.uuid4().hex
         try:
-            work = self.workshop.begin(request_id, resident, body)
+            work = self.scheduler.submit(request_id, resident, body)
         except (ValueError, KeyError, TypeError, IndexError) as error:
             self.residents.release(resident)
             return Reply(400, {"error": f"bad messages or max_tokens: {error!r}"})
         if body.get("stream"):
-            return Reply(stream=self.workshop.stream(work, 0))
-        if self.workshop.wait(work):
-            return Reply(value=work.whole())
+            return Reply(stream=self.scheduler.stream(work, 0))
+        if self.scheduler.wait(work):
+            return Reply(value=work.full_response())
         return Reply(409, {"error": "cancelled"})
 
     def resume(self, request: Request) -> Reply:
         """Go on with a stream after the event that the caller saw last."""
-        work = self.workshop.find(request.name)
+        work = self.scheduler.find(request.name)
         if work is None or work.state == "cancelled":
             return Reply(404, {"error": "no such stream"})
         after = int(request.headers.get("Last-Event-ID") or 0)
-        return Reply(stream=self.workshop.stream(work, after))
+        return Reply(stream=self.scheduler.stream(work, after))
 
     def cancel(self, request: Request) -> Reply:
         """Cancel a request's work."""
-        known = self.workshop.cancel(request.name)
+        known = self.scheduler.cancel(request.name)
         return Reply() if known else Reply(404, {"error": "no such stream"})
 
     def order(self, request: Request) -> Reply:
         """Take an order."""
         try:
-            order = self.residents.obey(Order(**request.mapping()))
-        except OlderFencingError:
+            order = self.residents.submit(Order(**request.json_object()))
+        except StaleFencingTokenError:
             return Reply(409, {"fencing": self.residents.fencing})
         return Reply(202, {"order_id": order.order_id, "state": order.state})
 
     def cache_events(self, request: Request) -> Reply:
         """Publish events of the prefix cache."""
-        following, events = self.cache.since(request.number("since"))
+        following, events = self.cache.events_since(request.query_int("since"))
         return Reply(value={"next": following, "events": [asdict(event) for event in events]})
 
     def report_log(self, request: Request) -> Reply:
         """Give what a harness checks."""
-        workshop = self.workshop
+        workshop = self.scheduler
         with workshop.lock:
             work = {
                 "runs": dict(workshop.runs),
--- a/standins/src/mimosaspur_standins/faults.py
+++ b/standins/src/mimosaspur_standins/faults.py
@@ -55,7 +55,7 @@
         with self.lock:
             return [asdict(fault) for fault in self.faults]
 
-    def strike(self, line: str) -> Fault | None:
+    def take_matching(self, line: str) -> Fault | None:
         """Take the first fault that matches `METHOD /path?query` and count it."""
         with self.lock:
             for fault in self.faults:
--- a/standins/src/mimosaspur_standins/links.py
+++ b/standins/src/mimosaspur_standins/links.py
@@ -7,7 +7,7 @@
 import threading
 from collections.abc import Callable
 
-from .base import DRAIN_BYTES
+from .base import RECV_BYTES
 from .base import now_ms
 from .base import sleep_ms
 
@@ -22,7 +22,7 @@
         self.link = link
         self.source = source
         self.sink = sink
-        self.silent = False
+        self.discarding = False
         self.ended = False
         self.pending: queue.SimpleQueue[tuple[float, bytes]] = queue.SimpleQueue()
 
@@ -36,7 +36,7 @@
         data = b"start"
         while data:
             try:
-                data = self.source.recv(DRAIN_BYTES)
+                data = self.source.recv(RECV_BYTES)
             except OSError:
                 data = b""
             self.pending.put((now_ms() + self.link.delay_ms(), data))
@@ -47,10 +47,10 @@
         while data:
             due_ms, data = self.pending.get()
             sleep_ms(max(0, due_ms - now_ms()))
-            if not self.silent and not self.link.broken:
+            if not self.discarding and not self.link.broken:
                 self.send(data)
         self.ended = True
-        self.link.flow_ended()
+        self.link.on_flow_ended()
 
     def send(self, data: bytes) -> None:
         """Pass on a piece or the end."""
@@ -66,42 +66,42 @@
 
     def __init__(
         self,
-        near: socket.socket,
+        downstream: socket.socket,
         *,
         delay_ms: Callable[[], float],
-        forget: Callable[["Link"], None],
+        on_close: Callable[["Link"], None],
     ) -> None:
-        self.near = near
-        self.far = socket.socket()
-        for end in (self.near, self.far):
+        self.downstream = downstream
+        self.upstream = socket.socket()
+        for end in (self.downstream, self.upstream):
             end.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.delay_ms = delay_ms
-        self.forget = forget
+        self.on_close = on_close
         self.broken = False
-        self.asks = Flow(self, self.near, self.far)
-        self.answers = Flow(self, self.far, self.near)
+        self.requests = Flow(self, self.downstream, self.upstream)
+        self.responses = Flow(self, self.upstream, self.downstream)
 
     def open(self, to: tuple[str, int]) -> None:
         """Connect to the other side and carry."""
         try:
-            self.far.settimeout(CONNECT_TIMEOUT_S)
-            self.far.connect(to)
-            self.far.settimeout(None)
+            self.upstream.settimeout(CONNECT_TIMEOUT_S)
+            self.upstream.connect(to)
+            self.upstream.settimeout(None)
         except OSError:
-            self.cut()
-            self.forget(self)
+            self.reset()
+            self.on_close(self)
             return
-        self.asks.start()
-        self.answers.start()
+        self.requests.start()
+        self.responses.start()
 
-    def frozen(self) -> bool:
+    def is_frozen(self) -> bool:
         """Tell whether a direction went silent."""
-        return self.asks.silent or self.answers.silent
+        return self.requests.discarding or self.responses.discarding
 
-    def cut(self) -> None:
+    def reset(self) -> None:
         """Reset both ends."""
         self.broken = True
-        for end in (self.near, self.far):
+        for end in (self.downstream, self.upstream):
             with contextlib.suppress(OSError):  # closed already
                 end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             # A reading thread keeps the connection alive, so wake it first.
@@ -109,10 +109,10 @@
                 end.shutdown(socket.SHUT_RD)
             end.close()
 
-    def flow_ended(self) -> None:
+    def on_flow_ended(self) -> None:
         """Close both ends when both flows are over, but never those of a frozen link."""
-        if not (self.asks.ended and self.answers.ended) or self.frozen():
+        if not (self.requests.ended and self.responses.ended) or self.is_frozen():
             return
-        self.near.close()
-        self.far.close()
-        self.forget(self)
+        self.downstream.close()
+        self.upstream.close()
+        self.on_close(self)
--- a/standins/src/mimosaspur_standins/messages.py
+++ b/standins/src/mimosaspur_standins/messages.py
@@ -21,28 +21,28 @@
     query: dict[str, list[str]]
     headers: Message
     body: bytes
-    rest: str = ""
+    path_suffix: str = ""
 
     @property
     def name(self) -> str:
         """Give the decoded rest of the path."""
-        return unquote(self.rest)
+        return unquote(self.path_suffix)
 
-    def first(self, key: str, default: str = "") -> str:
+    def query_value(self, key: str, default: str = "") -> str:
         """Give the first value of a query parameter."""
         return self.query.get(key, [default])[0]
 
-    def number(self, key: str, default: int = 0) -> int:
+    def query_int(self, key: str, default: int = 0) -> int:
         """Give a query parameter as a number; raise ValueError when it isn't one."""
-        return int(self.first(key, str(default)))
+        return int(self.query_value(key, str(default)))
 
-    def value(self) -> object:
+    def json_body(self) -> object:
         """Give the JSON body; raise ValueError when it isn't JSON."""
         return json.loads(self.body)
 
-    def mapping(self) -> dict[str, Any]:
+    def json_object(self) -> dict[str, Any]:
         """Give the JSON body; raise ValueError when it isn't an object."""
-        value = self.value()
+        value = self.json_body()
         if not isinstance(value, dict):
             raise ValueError("send a JSON object")
         return value
@@ -57,13 +57,13 @@
     stream: Iterator[bytes] | None = None
 
 
-Handle = Callable[[Request], Reply]
+RouteHandler = Callable[[Request], Reply]
 
 
-def fits(path: str, request: Request) -> bool:
+def matches_path(path: str, request: Request) -> bool:
     """Tell whether a route's path fits a request and note the rest of its path."""
     if not path.endswith(ANY):
         return path == request.path
     prefix = path.removesuffix(ANY)
-    request.rest = request.path.removeprefix(prefix)
+    request.path_suffix = request.path.removeprefix(prefix)
     return request.path.startswith(prefix)
--- a/standins/src/mimosaspur_standins/objectapi.py
+++ b/standins/src/mimosaspur_standins/objectapi.py
@@ -8,20 +8,20 @@
 
 from .base import StandIn
 from .base import now_ms
-from .counting import SecondWindow
+from .counting import SlidingWindow
 from .messages import Reply
 from .messages import Request
 from .objects import ObjectStore
 
 MAX_VALUE_BYTES = 1_000_000
 MAX_SNAPSHOTS = 1000
-DEFAULT_LIMIT = 500
-NO_CALLER = "none"
+DEFAULT_PAGE_SIZE = 500
+UNKNOWN_CALLER = "none"
 
 Instance = dict[str, Any]
 
 
-def kind_of(request: Request) -> str:
+def call_kind(request: Request) -> str:
     """Tell the kind of a call: read, write, watch, or other (the harness, the instance list)."""
     if request.path == "/watch":
         return "watch"
@@ -39,7 +39,7 @@
         self.by_caller: dict[str, Counter[str]] = {}
         self.bytes_by_caller: dict[str, Counter[str]] = {}
         self.refused = 0
-        self.seconds = SecondWindow()
+        self.window = SlidingWindow()
 
     def add(self, kind: str, caller: str) -> None:
         """Count a call."""
@@ -47,7 +47,7 @@
             self.by_kind[kind] += 1
             self.by_caller.setdefault(caller, Counter())[kind] += 1
             if kind != "other":
-                self.seconds.add()
+                self.window.add()
 
     def add_bytes(self, caller: str, *, received: int, sent: int) -> None:
         """Count the bytes of the bodies of a call."""
@@ -65,7 +65,7 @@
                 "bytes_by_caller": {
                     name: dict(sizes) for name, sizes in self.bytes_by_caller.items()
                 },
-                "peak_per_second": self.seconds.peak,
+                "peak_per_second": self.window.peak,
                 "refused": self.refused,
             }
 
@@ -88,7 +88,7 @@
                 self.instances[name] = {**instance, "name": name}
             self.snapshots.append((now_ms(), list(self.instances.values())))
 
-    def shown(self) -> list[Instance]:
+    def lagged_list(self) -> list[Instance]:
         """Give the lagging list."""
         with self.lock:
             seen_until = now_ms() - self.lag_ms
@@ -113,13 +113,13 @@
         super().__init__(name=name, address=address)
         self.store = ObjectStore()
         self.counts = CallCounts()
-        self.list = InstanceList(lag_ms=lag_ms)
+        self.instance_list = InstanceList(lag_ms=lag_ms)
         self.limits = {"write": writes_per_second, "read": reads_per_second}
-        self.windows = {"write": SecondWindow(), "read": SecondWindow()}
+        self.windows = {"write": SlidingWindow(), "read": SlidingWindow()}
         self.route("GET", "/objects/*", self.get)
         self.route("PUT", "/objects/*", self.put)
         self.route("DELETE", "/objects/*", self.delete)
-        self.route("GET", "/objects", self.page)
+        self.route("GET", "/objects", self.list_page)
         self.route("GET", "/watch", self.watch)
         self.route("GET", "/instances", self.instances)
         self.route("PUT", "/instances/*", self.put_instance)
@@ -128,25 +128,25 @@
         self.route("GET", "/counts", lambda request: Reply(value=self.counts.report()))
         self.route("DELETE", "/counts", self.reset_counts)
 
-    def observe(self, request: Request) -> None:
+    def on_request(self, request: Request) -> None:
         """Count each call."""
-        self.counts.add(kind_of(request), request.headers.get("X-Caller", NO_CALLER))
+        self.counts.add(call_kind(request), request.headers.get("X-Caller", UNKNOWN_CALLER))
 
-    def account(self, request: Request, sent_bytes: int) -> None:
+    def on_reply_sent(self, request: Request, sent_bytes: int) -> None:
         """Count the bytes of each call's bodies; headers are left out."""
-        caller = request.headers.get("X-Caller", NO_CALLER)
+        caller = request.headers.get("X-Caller", UNKNOWN_CALLER)
         self.counts.add_bytes(caller, received=len(request.body), sent=sent_bytes)
 
     def answer(self, request: Request) -> Reply:
         """Do a request that is within the rate."""
-        kind = kind_of(request)
+        kind = call_kind(request)
         # A watch takes from the reads' rate: each call counts as one.
         limited = "read" if kind == "watch" else kind
-        if limited in self.limits and not self.within_rate(limited):
+        if limited in self.limits and not self.allow_call(limited):
             return Reply(429, {"error": "over the rate, try again later"})
         return super().answer(request)
 
-    def within_rate(self, kind: str) -> bool:
+    def allow_call(self, kind: str) -> bool:
         """Tell whether the rate has room for a call, and take it."""
         with self.counts.lock:
             allowed = self.windows[kind].allow(self.limits[kind])
@@ -155,7 +155,7 @@
 
     def get(self, request: Request) -> Reply:
         """Give an object."""
-        found = self.store.get(request.rest)
+        found = self.store.get(request.path_suffix)
         return Reply(value=asdict(found)) if found else Reply(404, {"error": "no such object"})
 
     def put(self, request: Request) -> Reply:
@@ -165,7 +165,7 @@
         expected = expected_version(request)
         if expected is None:
             return Reply(428, {"error": "send If-Match or If-None-Match: *"})
-        done, version = self.store.put(request.rest, request.value(), expected)
+        done, version = self.store.put(request.path_suffix, request.json_body(), expected)
         return Reply(200 if done else 412, {"version": version})
 
     def delete(self, request: Request) -> Reply:
@@ -173,16 +173,16 @@
         expected = expected_version(request)
         if not expected:
             return Reply(428, {"error": "send If-Match"})
-        done, version = self.store.delete(request.rest, expected)
+        done, version = self.store.delete(request.path_suffix, expected)
         if not done and version == 0:
             return Reply(404, {"error": "no such object"})
         return Reply(200 if done else 412, {"version": version})
 
-    def page(self, request: Request) -> Reply:
+    def list_page(self, request: Request) -> Reply:
         """Give one page of objects."""
-        limit = request.number("limit", DEFAULT_LIMIT)
-        revision, page, more = self.store.listing(
-            request.first("prefix"), request.first("after"), limit
+        limit = request.query_int("limit", DEFAULT_PAGE_SIZE)
+        revision, page, more = self.store.list_page(
+            request.query_value("prefix"), request.query_value("after"), limit
         )
         objects = [asdict(change) for change in page]
         return Reply(value={"revision": revision, "objects": objects, "more": more})
@@ -190,7 +190,7 @@
     def watch(self, request: Request) -> Reply:
         """Wait for changes."""
         prefixes = tuple(request.query.get("prefix", [""]))
-        found = self.store.watch(prefixes, request.number("since"), request.number("wait_ms"))
+        found = self.store.watch(prefixes, request.query_int("since"), request.query_int("wait_ms"))
         if found is None:
             return Reply(410, {"error": "revision too old, list again"})
         events = [asdict(change) for change in found[1]]
@@ -198,21 +198,21 @@
 
     def instances(self, request: Request) -> Reply:
         """Give the instance list."""
-        return Reply(value={"instances": self.list.shown()})
+        return Reply(value={"instances": self.instance_list.lagged_list()})
 
     def put_instance(self, request: Request) -> Reply:
         """Add or change an instance for the harness."""
-        self.list.put(request.name, request.mapping())
+        self.instance_list.put(request.name, request.json_object())
         return Reply()
 
     def delete_instance(self, request: Request) -> Reply:
         """Take an instance away for the harness."""
-        self.list.put(request.name, None)
+        self.instance_list.put(request.name, None)
         return Reply()
 
     def set_lag(self, request: Request) -> Reply:
         """Set how far the instance list lags."""
-        self.list.lag_ms = float(request.mapping()["lag_ms"])
+        self.instance_list.lag_ms = float(request.json_object()["lag_ms"])
         return Reply()
 
     def reset_counts(self, request: Request) -> Reply:
--- a/standins/src/mimosaspur_standins/objects.py
+++ b/standins/src/mimosaspur_standins/objects.py
@@ -43,7 +43,7 @@
         with self.changed:
             if self.version(key) != expected:
                 return False, self.version(key)
-            self.note(key, value)
+            self.record_change(key, value)
             self.objects[key] = self.events[-1]
             return True, self.revision
 
@@ -53,16 +53,16 @@
             if self.version(key) != expected:
                 return False, self.version(key)
             del self.objects[key]
-            self.note(key, None)
+            self.record_change(key, None)
             return True, self.revision
 
-    def note(self, key: str, value: object) -> None:
+    def record_change(self, key: str, value: object) -> None:
         """Log a change and wake the watches; the caller holds the lock."""
         self.revision += 1
         self.events.append(Change(key, self.revision, value))
         self.changed.notify_all()
 
-    def listing(self, prefix: str, after: str, limit: int) -> tuple[int, list[Change], bool]:
+    def list_page(self, prefix: str, after: str, limit: int) -> tuple[int, list[Change], bool]:
         """Give revision, one page by key, and whether there is more."""
         with self.changed:
             keys = sorted(key for key in self.objects if key.startswith(prefix) and key > after)
@@ -79,14 +79,14 @@
             while True:
                 if scanned < self.revision - len(self.events):
                     return None
-                fresh = self.fresh(prefixes, scanned)
+                fresh = self.events_since(prefixes, scanned)
                 left = deadline - now_ms()
                 if fresh or left <= 0:
                     return self.revision, fresh
                 scanned = max(scanned, self.revision)
                 self.changed.wait(left / MS_PER_SECOND)
 
-    def fresh(self, prefixes: tuple[str, ...], since: int) -> list[Change]:
+    def events_since(self, prefixes: tuple[str, ...], since: int) -> list[Change]:
         """Find the changes after a revision; the caller holds the lock."""
         found = []
         for event in reversed(self.events):
--- a/standins/src/mimosaspur_standins/orders.py
+++ b/standins/src/mimosaspur_standins/orders.py
@@ -9,7 +9,7 @@
 RESIDENT_KINDS = ("model", "adapter", "import")
 
 
-class OlderFencingError(Exception):
+class StaleFencingTokenError(Exception):
     """Refuse an order whose fencing token is older than the newest seen."""
 
 
@@ -29,7 +29,7 @@
     detail: str = ""
     at_ms: int = 0
 
-    def check(self, accelerators: int) -> None:
+    def validate(self, accelerators: int) -> None:
         """Raise ValueError when the order makes no sense on so many accelerators."""
         if self.kind not in KINDS:
             raise ValueError(f"kind must be one of {KINDS}")
@@ -44,7 +44,7 @@
         if not self.accelerators or not set(self.accelerators) <= set(range(accelerators)):
             raise ValueError(f"accelerators must be among the {accelerators} of this engine")
 
-    def end(self, state: str, detail: str = "") -> None:
+    def finish(self, state: str, detail: str = "") -> None:
         """Note the outcome."""
         self.state = state
         self.detail = detail
@@ -63,6 +63,6 @@
     state: str = "loading"
     users: int = 1
 
-    def shown(self) -> dict[str, Any]:
+    def public_state(self) -> dict[str, Any]:
         """Give the published part."""
         return {key: value for key, value in asdict(self).items() if key != "users"}
--- a/standins/src/mimosaspur_standins/prefixes.py
+++ b/standins/src/mimosaspur_standins/prefixes.py
@@ -30,7 +30,7 @@
         self.prefixes: dict[str, OrderedDict[str, None]] = {}
         self.events: list[tuple[float, CacheEvent]] = []
 
-    def hit(self, resident: str, text: str) -> bool:
+    def lookup(self, resident: str, text: str) -> bool:
         """Tell whether the text's prefix is cached and make it the newest."""
         prefix = text[:PREFIX_CHARACTERS]
         with self.lock:
@@ -53,7 +53,7 @@
                 oldest, _ = known.popitem(last=False)
                 self.publish(resident, oldest, "evicted")
 
-    def forget(self, resident: str) -> None:
+    def evict_resident(self, resident: str) -> None:
         """Evict all of a resident."""
         with self.lock:
             for prefix in self.prefixes.pop(resident, OrderedDict()):
@@ -64,15 +64,15 @@
         event = CacheEvent(len(self.events) + 1, resident, prefix, kind)
         self.events.append((now_ms() + self.lag_ms, event))
 
-    def since(self, first: int) -> tuple[int, list[CacheEvent]]:
+    def events_since(self, first: int) -> tuple[int, list[CacheEvent]]:
         """Give the next sequence to ask for, and the events out from `first` on."""
         now = now_ms()
         with self.lock:
             start = max(0, first - 1)
             out = [event for due_ms, event in self.events[start:] if due_ms <= now]
-        found = [event for event in out if not self.lost(event)]
+        found = [event for event in out if not self.is_dropped(event)]
         return start + len(out) + 1, found
 
-    def lost(self, event: CacheEvent) -> bool:
+    def is_dropped(self, event: CacheEvent) -> bool:
         """Tell whether the event falls into a gap."""
         return self.gap_every > 0 and event.sequence % self.gap_every == 0
--- a/standins/src/mimosaspur_standins/relay.py
+++ b/standins/src/mimosaspur_standins/relay.py
@@ -18,11 +18,11 @@
 
     def __init__(self, *, name: str, address: str, control: str, to: str) -> None:
         super().__init__(name=name, address=control)
-        self.to = split_address(to)
+        self.upstream_address = split_address(to)
         self.lock = threading.Lock()
         self.links: set[Link] = set()
         self.mode = "pass"
-        self.delay = 0.0
+        self.delay_ms = 0.0
         self.listener = socket.create_server(split_address(address), backlog=MAX_BACKLOG)
         self.route("POST", "/mode", self.set_mode)
         self.route("GET", "/mode", self.show_mode)
@@ -42,30 +42,32 @@
         """Take connections for ever."""
         while True:
             near, _ = self.listener.accept()
-            link = Link(near, delay_ms=lambda: self.delay, forget=self.forget)
+            link = Link(near, delay_ms=lambda: self.delay_ms, on_close=self.remove_link)
             with self.lock:
                 refused = self.mode == "refuse"
                 if not refused:
                     self.links.add(link)
             if refused:
-                link.cut()
+                link.reset()
             else:
-                threading.Thread(target=link.open, args=(self.to,), daemon=True).start()
+                threading.Thread(
+                    target=link.open, args=(self.upstream_address,), daemon=True
+                ).start()
 
-    def forget(self, link: Link) -> None:
+    def remove_link(self, link: Link) -> None:
         """Drop a link that is over."""
         with self.lock:
             self.links.discard(link)
 
     def set_mode(self, request: Request) -> Reply:
         """Break what is open now; only `refuse` and `pass` say something of what comes."""
-        mode = request.mapping()["mode"]
+        mode = request.json_object()["mode"]
         if mode not in MODES:
             raise ValueError(f"mode must be one of {', '.join(MODES)}")
         with self.lock:
             self.mode = mode
             for link in self.links:
-                strike(link, mode)
+                apply_mode(link, mode)
             if mode in ("cut", "refuse"):
                 self.links.clear()
         return self.show_mode(request)
@@ -73,22 +75,22 @@
     def show_mode(self, request: Request) -> Reply:
         """Tell the mode and how many links there are."""
         with self.lock:
-            frozen = sum(link.frozen() for link in self.links)
+            frozen = sum(link.is_frozen() for link in self.links)
             return Reply(value={"mode": self.mode, "open": len(self.links), "frozen": frozen})
 
     def set_delay(self, request: Request) -> Reply:
         """Delay each direction."""
-        self.delay = float(request.mapping()["ms"])
+        self.delay_ms = float(request.json_object()["ms"])
         return Reply()
 
 
-def strike(link: Link, mode: str) -> None:
+def apply_mode(link: Link, mode: str) -> None:
     """Do to one open link what a mode says."""
     match mode:
         case "freeze":
-            link.asks.silent = True
-            link.answers.silent = True
+            link.requests.discarding = True
+            link.responses.discarding = True
         case "freeze_answers":
-            link.answers.silent = True
+            link.responses.discarding = True
         case "cut" | "refuse":
-            link.cut()
+            link.reset()
--- a/standins/src/mimosaspur_standins/residents.py
+++ b/standins/src/mimosaspur_standins/residents.py
@@ -11,13 +11,13 @@
 from .base import MS_PER_SECOND
 from .base import sleep_ms
 from .base import split_address
-from .orders import OlderFencingError
 from .orders import Order
 from .orders import Resident
+from .orders import StaleFencingTokenError
 
-SHOWN_ORDERS = 200
-WEIGHT_TRIES = 4
-WEIGHT_PAUSE_MS = 250
+MAX_LISTED_ORDERS = 200
+MAX_FETCH_ATTEMPTS = 4
+FETCH_RETRY_DELAY_MS = 250
 
 
 class Residents:
@@ -31,14 +31,14 @@
         load_ms: float,
         unload_ms: float,
         ignore_fencing: bool,
-        forget: Callable[[str], None],
+        on_unload: Callable[[str], None],
     ) -> None:
         self.capacity_mb = capacity_mb
         self.weights = weights
         self.load_ms = load_ms
         self.unload_ms = unload_ms
         self.ignore_fencing = ignore_fencing
-        self.forget = forget
+        self.on_unload = on_unload
         self.engine_id = uuid.uuid4().hex
         self.changed = threading.Condition()
         self.fencing = 0
@@ -49,40 +49,40 @@
         self.loads = 0
         self.unloads = 0
 
-    def obey(self, order: Order) -> Order:
-        """Start an order, once; raise ValueError or OlderFencingError."""
+    def submit(self, order: Order) -> Order:
+        """Start an order, once; raise ValueError or StaleFencingTokenError."""
         with self.changed:
             known = self.orders.get(order.order_id)
             if known is not None:
                 return known
-            order.check(len(self.capacity_mb))
+            order.validate(len(self.capacity_mb))
             if order.fencing < self.fencing and not self.ignore_fencing:
-                raise OlderFencingError
+                raise StaleFencingTokenError
             self.fencing = max(self.fencing, order.fencing)
             order.at_ms = int(time.time() * MS_PER_SECOND)
             self.orders[order.order_id] = order
-            self.apply(order)
+            self.start_order(order)
             return order
 
-    def apply(self, order: Order) -> None:
+    def start_order(self, order: Order) -> None:
         """Take the first step of an order; the caller holds the lock."""
         match order.kind:
             case "fence":
-                order.end("done")
+                order.finish("done")
             case "load":
-                self.begin_load(order)
+                self.start_load(order)
             case "unload":
-                self.begin_unload(order)
+                self.start_unload(order)
 
-    def begin_load(self, order: Order) -> None:
+    def start_load(self, order: Order) -> None:
         """Take the memory of a load and start loading."""
         present = self.residents.get(order.id)
         if present is not None:
             ready = present.state == "ready"
-            order.end("done" if ready else "failed", f"already {present.state}")
+            order.finish("done" if ready else "failed", f"already {present.state}")
             return
-        if order.base is not None and not self.ready(order.base):
-            order.end("failed", f"base {order.base} is not ready")
+        if order.base is not None and not self.is_ready(order.base):
+            order.finish("failed", f"base {order.base} is not ready")
             return
         resident = Resident(
             order.id,
@@ -93,25 +93,25 @@
             order.order_id,
         )
         self.residents[order.id] = resident
-        self.sum_memory()
+        self.update_memory_use()
         threading.Thread(target=self.load, args=(order, resident), daemon=True).start()
 
-    def begin_unload(self, order: Order) -> None:
+    def start_unload(self, order: Order) -> None:
         """Stop new work on a resident and start unloading."""
         resident = self.residents.get(order.id)
         if resident is None:
-            order.end("done", "not resident")
+            order.finish("done", "not resident")
         elif resident.state == "unloading":
-            order.end("failed", "already unloading")
+            order.finish("failed", "already unloading")
         elif any(other.base == order.id for other in self.residents.values()):
-            order.end("failed", "adapters of it are resident, unload them first")
+            order.finish("failed", "adapters of it are resident, unload them first")
         else:
             resident.state = "unloading"
             threading.Thread(target=self.unload, args=(order, resident), daemon=True).start()
 
     def load(self, order: Order, resident: Resident) -> None:
         """Bring the weights in."""
-        problem = self.fetch(resident)
+        problem = self.fetch_weights(resident)
         with self.changed:
             resident.users -= 1
             if resident.state == "unloading":
@@ -121,8 +121,8 @@
             else:
                 resident.state = "ready"
                 self.loads += 1
-            order.end("failed" if problem else "done", problem)
-            self.sum_memory()
+            order.finish("failed" if problem else "done", problem)
+            self.update_memory_use()
             self.changed.notify_all()
 
     def unload(self, order: Order, resident: Resident) -> None:
@@ -130,31 +130,31 @@
         with self.changed:
             self.changed.wait_for(lambda: resident.users == 0)
         sleep_ms(self.unload_ms)
-        self.forget(resident.id)
+        self.on_unload(resident.id)
         with self.changed:
             del self.residents[resident.id]
             self.unloads += 1
-            order.end("done")
-            self.sum_memory()
+            order.finish("done")
+            self.update_memory_use()
 
-    def fetch(self, resident: Resident) -> str:
+    def fetch_weights(self, resident: Resident) -> str:
         """Read the weights; give the problem, empty when there is none."""
         if self.weights is None:
             sleep_ms(self.load_ms)
             return ""
         problem = ""
-        for _ in range(WEIGHT_TRIES):
+        for _ in range(MAX_FETCH_ATTEMPTS):
             try:
-                status = read_weights(self.weights, resident)
+                status = request_weights(self.weights, resident)
             except (OSError, http.client.HTTPException) as error:
                 return f"weight store: {error!r}"
             if status == http.HTTPStatus.OK:
                 return ""
             problem = f"weight store answered {status}"
-            sleep_ms(WEIGHT_PAUSE_MS)
+            sleep_ms(FETCH_RETRY_DELAY_MS)
         return problem
 
-    def sum_memory(self) -> None:
+    def update_memory_use(self) -> None:
         """Note the sum on each accelerator; the caller holds the lock."""
         for index, capacity in enumerate(self.capacity_mb):
             on_it = (item for item in self.residents.values() if index in item.accelerators)
@@ -162,7 +162,7 @@
             self.max_used_mb[index] = max(self.max_used_mb[index], used)
             self.overcommitted = self.overcommitted or used > capacity
 
-    def ready(self, name: str) -> bool:
+    def is_ready(self, name: str) -> bool:
         """Tell whether a model or adapter can work; the caller holds the lock."""
         found = self.residents.get(name)
         return found is not None and found.state == "ready" and found.kind != "import"
@@ -170,7 +170,7 @@
     def acquire(self, name: str) -> Resident | None:
         """Hold a ready resident for a piece of work; None when it isn't ready."""
         with self.changed:
-            if not self.ready(name):
+            if not self.is_ready(name):
                 return None
             self.residents[name].users += 1
             return self.residents[name]
@@ -184,12 +184,12 @@
     def state(self) -> dict[str, Any]:
         """Give the published state."""
         with self.changed:
-            orders = list(self.orders.values())[-SHOWN_ORDERS:]
+            orders = list(self.orders.values())[-MAX_LISTED_ORDERS:]
             return {
                 "engine_id": self.engine_id,
                 "fencing": self.fencing,
                 "capacity_mb": self.capacity_mb,
-                "residents": [resident.shown() for resident in self.residents.values()],
+                "residents": [resident.public_state() for resident in self.residents.values()],
                 "orders": [
                     {"order_id": order.order_id, "state": order.state, "detail": order.detail}
                     for order in orders
@@ -211,7 +211,7 @@
             }
 
 
-def read_weights(address: str, resident: Resident) -> int:
+def request_weights(address: str, resident: Resident) -> int:
     """Ask the weight store once; give the status."""
     host, port = split_address(address)
     connection = http.client.HTTPConnection(host, port)
--- a/standins/src/mimosaspur_standins/service.py
+++ b/standins/src/mimosaspur_standins/service.py
@@ -23,20 +23,20 @@
         self.peak = 0
         self.route("GET", "/log", self.report_log)
         self.route("GET", "/counts", self.report_counts)
-        self.route(ANY, "/*", self.work)
+        self.route(ANY, "/*", self.echo)
 
-    def work(self, request: Request) -> Reply:
+    def echo(self, request: Request) -> Reply:
         """Do a request and echo it."""
         request_id = request.headers.get("X-Request-Id", "")
         body = request.body.decode(errors="replace")
-        run = self.begin(request_id, body)
+        run = self.record_run(request_id, body)
         sleep_ms(self.work_ms)
         with self.lock:
             self.active -= 1
         answer = {"service": self.name, "path": request.path, "request_id": request_id}
         return Reply(value={**answer, "echo": body, "run": run})
 
-    def begin(self, request_id: str, body: str) -> int:
+    def record_run(self, request_id: str, body: str) -> int:
         """Count a run and tell which one it is."""
         with self.lock:
             self.runs[request_id] += 1
--- a/standins/src/mimosaspur_standins/streams.py
+++ b/standins/src/mimosaspur_standins/streams.py
@@ -13,19 +13,19 @@
 from .answers import answer_tokens
 from .base import MS_PER_SECOND
 from .base import now_ms
-from .counting import SecondWindow
+from .counting import SlidingWindow
 from .orders import Resident
 from .prefixes import PrefixCache
 from .residents import Residents
 
-KEPT_MS = 30_000
-HIT_DIVISOR = 4
-SAMPLES = 10_000
+STREAM_RETENTION_MS = 30_000
+CACHE_HIT_SPEEDUP = 4
+MAX_SAMPLES = 10_000
 DONE_EVENT = b"data: [DONE]\n\n"
 
 
 @dataclass(slots=True)
-class Work:
+class Job:
     """Hold one request's work and the events of its stream."""
 
     request_id: str
@@ -52,7 +52,7 @@
             "total_tokens": self.prompt_tokens + count,
         }
 
-    def frame(self, kind: str, choice: dict[str, Any]) -> dict[str, Any]:
+    def envelope(self, kind: str, choice: dict[str, Any]) -> dict[str, Any]:
         """Give the common shape of an answer."""
         return {
             "id": self.request_id,
@@ -65,21 +65,21 @@
     def chunk(self, text: str) -> dict[str, Any]:
         """Give one token's event."""
         choice = {"delta": {"role": "assistant", "content": text}, "finish_reason": None}
-        return self.frame("chat.completion.chunk", choice)
+        return self.envelope("chat.completion.chunk", choice)
 
     def last_chunk(self) -> dict[str, Any]:
         """Give the event that ends the answer."""
-        frame = self.frame("chat.completion.chunk", {"delta": {}, "finish_reason": "stop"})
+        frame = self.envelope("chat.completion.chunk", {"delta": {}, "finish_reason": "stop"})
         return {**frame, "usage": self.usage()}
 
-    def whole(self) -> dict[str, Any]:
+    def full_response(self) -> dict[str, Any]:
         """Give the answer in one piece."""
         message = {"role": "assistant", "content": "".join(self.tokens)}
-        frame = self.frame("chat.completion", {"message": message, "finish_reason": "stop"})
+        frame = self.envelope("chat.completion", {"message": message, "finish_reason": "stop"})
         return {**frame, "usage": self.usage()}
 
 
-class Workshop:
+class Scheduler:
     """Run work in `slots` slots, first come first served."""
 
     def __init__(
@@ -99,43 +99,43 @@
         self.token_ms = token_ms
         self.load_lag_ms = load_lag_ms
         self.lock = threading.RLock()
-        self.works: dict[str, Work] = {}
-        self.ended: deque[Work] = deque()
-        self.queue: list[Work] = []
+        self.jobs: dict[str, Job] = {}
+        self.ended: deque[Job] = deque()
+        self.queue: list[Job] = []
         self.active = 0
         self.runs: Counter[str] = Counter()
         self.cancelled: list[str] = []
         self.finished: list[str] = []
-        self.rate = SecondWindow()
-        self.samples: deque[tuple[float, dict[str, int]]] = deque(maxlen=SAMPLES)
+        self.rate = SlidingWindow()
+        self.samples: deque[tuple[float, dict[str, int]]] = deque(maxlen=MAX_SAMPLES)
 
-    def begin(self, request_id: str, resident: Resident, body: dict[str, Any]) -> Work:
+    def submit(self, request_id: str, resident: Resident, body: dict[str, Any]) -> Job:
         """Queue the work of a request; the resident is held until its end."""
-        texts = [text_of(message) for message in body["messages"]]
+        texts = [message_text(message) for message in body["messages"]]
         limit = body.get("max_tokens")
         tokens = answer_tokens(resident.id, texts[-1], *([] if limit is None else [int(limit)]))
         prompt_tokens = sum(len(text.split()) for text in texts)
         # Each work has its own condition, so that a token wakes its readers only.
         changed = threading.Condition(self.lock)
-        work = Work(request_id, resident, texts[0], tokens, prompt_tokens, changed)
+        work = Job(request_id, resident, texts[0], tokens, prompt_tokens, changed)
         with self.lock:
-            self.forget_old()
-            self.works[request_id] = work
+            self.drop_expired()
+            self.jobs[request_id] = work
             self.queue.append(work)
-            self.sample()
+            self.record_load()
         threading.Thread(target=self.run, args=(work,), daemon=True).start()
         return work
 
-    def run(self, work: Work) -> None:
+    def run(self, work: Job) -> None:
         """Do a piece of work to its end, whether anybody listens or not."""
         try:
-            if self.take_slot(work):
-                self.write_tokens(work)
-                self.free_slot(work)
+            if self.acquire_slot(work):
+                self.generate_tokens(work)
+                self.release_slot(work)
         finally:
             self.residents.release(work.resident)
 
-    def take_slot(self, work: Work) -> bool:
+    def acquire_slot(self, work: Job) -> bool:
         """Wait for a slot; False when the work was cancelled before."""
         with self.lock:
             work.changed.wait_for(lambda: work.ended() or self.may_start(work))
@@ -144,18 +144,18 @@
                 work.state = "running"
                 self.active += 1
                 self.runs[work.request_id] += 1
-            self.sample()
-            self.wake_next()
+            self.record_load()
+            self.notify_next()
             return not work.ended()
 
-    def may_start(self, work: Work) -> bool:
+    def may_start(self, work: Job) -> bool:
         """Tell whether it is the work's turn; the caller holds the lock."""
         return self.active < self.slots and self.queue[0] is work
 
-    def write_tokens(self, work: Work) -> None:
+    def generate_tokens(self, work: Job) -> None:
         """Produce the events at their times until the end or a cancel."""
-        hit = self.cache.hit(work.resident.id, work.first_text)
-        due_ms = now_ms() + (self.prefill_ms / HIT_DIVISOR if hit else self.prefill_ms)
+        hit = self.cache.lookup(work.resident.id, work.first_text)
+        due_ms = now_ms() + (self.prefill_ms / CACHE_HIT_SPEEDUP if hit else self.prefill_ms)
         if self.cancelled_before(work, due_ms):
             return
         self.cache.store(work.resident.id, work.first_text)
@@ -168,13 +168,13 @@
                 self.rate.add()
                 work.changed.notify_all()
 
-    def cancelled_before(self, work: Work, due_ms: float) -> bool:
+    def cancelled_before(self, work: Job, due_ms: float) -> bool:
         """Wait until a time, or for a cancel."""
         with self.lock:
             wait_s = max(0, due_ms - now_ms()) / MS_PER_SECOND
             return work.changed.wait_for(work.ended, wait_s)
 
-    def free_slot(self, work: Work) -> None:
+    def release_slot(self, work: Job) -> None:
         """End work that ran."""
         with self.lock:
             if not work.ended():
@@ -182,17 +182,17 @@
                 self.end(work, "finished")
                 self.finished.append(work.request_id)
             self.active -= 1
-            self.sample()
-            self.wake_next()
+            self.record_load()
+            self.notify_next()
 
-    def end(self, work: Work, state: str) -> None:
+    def end(self, work: Job, state: str) -> None:
         """Note the end of work; the caller holds the lock."""
         work.state = state
         work.ended_ms = now_ms()
         self.ended.append(work)
         work.changed.notify_all()
 
-    def wake_next(self) -> None:
+    def notify_next(self) -> None:
         """Let the first in the queue look for a slot; the caller holds the lock."""
         if self.queue:
             self.queue[0].changed.notify_all()
@@ -208,32 +208,32 @@
                 self.cancelled.append(request_id)
             return True
 
-    def find(self, request_id: str) -> Work | None:
+    def find(self, request_id: str) -> Job | None:
         """Find work that runs, or that ended up to 30 s ago."""
         with self.lock:
-            self.forget_old()
-            return self.works.get(request_id)
+            self.drop_expired()
+            return self.jobs.get(request_id)
 
-    def forget_old(self) -> None:
+    def drop_expired(self) -> None:
         """Drop streams that ended long ago; the caller holds the lock."""
-        oldest = now_ms() - KEPT_MS
+        oldest = now_ms() - STREAM_RETENTION_MS
         while self.ended and self.ended[0].ended_ms < oldest:
             work = self.ended.popleft()
             # The same request id may have begun again since.
-            if self.works.get(work.request_id) is work:
-                del self.works[work.request_id]
+            if self.jobs.get(work.request_id) is work:
+                del self.jobs[work.request_id]
 
-    def wait(self, work: Work) -> bool:
+    def wait(self, work: Job) -> bool:
         """Wait for the end; tell whether the work finished."""
         with self.lock:
             work.changed.wait_for(work.ended)
             return work.state == "finished"
 
-    def stream(self, work: Work, after: int) -> Iterator[bytes]:
+    def stream(self, work: Job, after: int) -> Iterator[bytes]:
         """Give the server-sent events after number `after`, as they come."""
         sent = after
         while True:
-            fresh, ended = self.fresh(work, sent)
+            fresh, ended = self.wait_for_events(work, sent)
             for event in fresh:
                 sent += 1
                 yield f"id: {sent}\ndata: {json.dumps(event)}\n\n".encode()
@@ -242,13 +242,13 @@
         if work.state == "finished":
             yield DONE_EVENT
 
-    def fresh(self, work: Work, sent: int) -> tuple[list[dict[str, Any]], bool]:
+    def wait_for_events(self, work: Job, sent: int) -> tuple[list[dict[str, Any]], bool]:
         """Wait for events beyond those sent; tell also whether the work ended."""
         with self.lock:
             work.changed.wait_for(lambda: len(work.events) > sent or work.ended())
             return work.events[sent:], work.ended()
 
-    def sample(self) -> None:
+    def record_load(self) -> None:
         """Note the load; the caller holds the lock."""
         load = {"active": self.active, "waiting": len(self.queue)}
         self.samples.append((now_ms(), load))
@@ -262,7 +262,7 @@
             return {**load, "slots": self.slots, "tokens_per_second": self.rate.count()}
 
 
-def text_of(message: dict[str, Any]) -> str:
+def message_text(message: dict[str, Any]) -> str:
     """Give the text of a message; content in parts counts as its JSON."""
     content = message["content"]
     return content if isinstance(content, str) else json.dumps(content)
