--- a/features/load.feature
+++ b/features/load.feature
@@ -1,5 +1,5 @@
-Feature: The load command classes what became of each request
-  A measurement is only worth something if it sees wrong, cut, late and doubled answers.
+Feature: The load command classifies the outcome of each request
+  Guards against wrong, cut, late or doubled answers being counted as served.
 
   Scenario Outline: <case>
     Given a request whose right answers are "a-0 a-1 " and "b-0 b-1 ", due within 1000 ms
--- a/features/reference.feature
+++ b/features/reference.feature
@@ -1,4 +1,4 @@
-Feature: The reference pages tell what the code does
+Feature: The reference pages match the code
 
   Scenario: The pages made from the code are the ones that are committed
     When the reference tool checks its pages
--- a/features/steps/known_red_steps.py
+++ b/features/steps/known_red_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the list of scenarios that are known to fail."""
+"""Steps for KNOWN-RED.txt, the list of known failures."""
 
 import contextlib
 import io
@@ -19,27 +19,31 @@
 
 FEATURE = "features/listed.feature"
 SCENARIO = "it -- @1.1"
-OTHER = "another"
+OTHER_SCENARIO = "another"
 
 
-def _read(line: str) -> list[KnownRed]:
+def _read_line(line: str) -> list[KnownRed]:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "KNOWN-RED.txt")
-        path.write_text(f"# What is known to fail.\n\n{line}\n", encoding="utf-8")
+        path.write_text(f"# Known failures.\n\n{line}\n", encoding="utf-8")
         return read_known_red(path)
 
 
 @given("KNOWN-RED.txt lists {listed}")
 def set_list(context: Context, listed: str) -> None:
     often = "sometimes" if listed.endswith("sometimes") else "always"
-    scenario = SCENARIO if listed.startswith("it ") else OTHER
+    scenario = SCENARIO if listed.startswith("it ") else OTHER_SCENARIO
     line = f"{often} | {FEATURE}:{scenario} | run it, seed 1 | it failed | issue 1"
-    context.known = [] if listed == "nothing" else _read(line)
+    context.known = [] if listed == "nothing" else _read_line(line)
 
 
 @when("a run of the whole feature file has {outcome} for it")
 def run_file(context: Context, outcome: str) -> None:
-    outcomes = [Outcome(FEATURE, OTHER, passed=False)] if OTHER in _scenarios(context) else []
+    outcomes = (
+        [Outcome(FEATURE, OTHER_SCENARIO, passed=False)]
+        if OTHER_SCENARIO in _scenarios(context)
+        else []
+    )
     if outcome != "no such scenario":
         outcomes.append(Outcome(FEATURE, SCENARIO, passed=outcome == "a pass"))
     printed = io.StringIO()
@@ -54,10 +58,10 @@
 
 @then("the verdict is {verdict}")
 def check_verdict(context: Context, verdict: str) -> None:
-    wanted = ExitCode.OK if verdict.startswith("passed") else ExitCode.FAILURES
-    assert context.exit_code == wanted, context.printed
+    expected = ExitCode.OK if verdict.startswith("passed") else ExitCode.FAILURES
+    assert context.exit_code == expected, context.printed
     assert ("known red: " in context.printed) == (
-        verdict.endswith("prints it") or OTHER in _scenarios(context)
+        verdict.endswith("prints it") or OTHER_SCENARIO in _scenarios(context)
     ), context.printed
     assert ("remove its line" in context.printed) == verdict.endswith("line"), context.printed
 
@@ -68,9 +72,9 @@
 
 
 @then("reading it fails and tells {told}")
-def check_told(context: Context, told: str) -> None:
+def check_read_error(context: Context, told: str) -> None:
     try:
-        _read(context.line)
+        _read_line(context.line)
     except KnownRedError as error:
         assert told in str(error), error
     else:
--- a/features/steps/reference_steps.py
+++ b/features/steps/reference_steps.py
@@ -44,7 +44,7 @@
 
 
 @given('a copy of the documents in which the page "{page}" is changed by a word')
-def change_page(context: Context, page: str) -> None:
+def append_word_to_page(context: Context, page: str) -> None:
     path = copy_docs(context) / DOCS / REFERENCE / page
     path.write_text(path.read_text(encoding="utf-8") + "word\n", encoding="utf-8")
 
@@ -56,7 +56,7 @@
 
 @when("the reference tool checks its pages")
 def check_pages(context: Context) -> None:
-    context.ended = subprocess.run(
+    context.completed = subprocess.run(
         [sys.executable, str(TOOL), "--check"],
         cwd=getattr(context, "copy", Path.cwd()),
         capture_output=True,
@@ -68,31 +68,31 @@
 
 @then("it finds none that is stale")
 def check_fresh(context: Context) -> None:
-    assert context.ended.returncode == 0, context.ended.stderr
+    assert context.completed.returncode == 0, context.completed.stderr
 
 
 @then('it names the page "{page}" as stale')
 def check_stale(context: Context, page: str) -> None:
-    assert context.ended.returncode == STALE, context.ended
-    named = re.findall(r"([a-z-]+\.md) is stale", context.ended.stderr)
-    assert named == [page], context.ended.stderr
+    assert context.completed.returncode == STALE, context.completed
+    named = re.findall(r"([a-z-]+\.md) is stale", context.completed.stderr)
+    assert named == [page], context.completed.stderr
 
 
 @when("each key's example is put into good settings")
-def try_examples(context: Context) -> None:
+def check_each_example(context: Context) -> None:
     context.examples = page_examples()
-    context.faults = {}
+    context.errors = {}
     for key, example in context.examples.items():
         try:
             settings_from_text(json.dumps(settings_with(key, json.loads(example))), file=key)
-        except Exception as error:  # noqa: BLE001  (every fault of an example is told)
-            context.faults[key] = repr(error)
+        except Exception as error:  # noqa: BLE001  (every invalid example is reported)
+            context.errors[key] = repr(error)
 
 
 @then("the check accepts each of them")
 def check_examples(context: Context) -> None:
     assert len(context.examples) == len(settings_keys()), context.examples.keys()
-    assert not context.faults, context.faults
+    assert not context.errors, context.errors
 
 
 @when("the code is searched for metrics")
@@ -117,20 +117,22 @@
 @when("the settings files under docs/examples are checked")
 def check_files(context: Context) -> None:
     files = sorted(set(EXAMPLES.glob("*/*.json")) - set(EXAMPLES.glob(f"*/{BUNDLE_FILE}")))
-    context.good = {file: load_settings(file) for file in files}
+    context.loaded = {file: load_settings(file) for file in files}
 
 
 @then("each of them is good")
 def check_good(context: Context) -> None:
-    assert context.good, "there is no example"
+    assert context.loaded, "there is no example"
 
 
 @step('there are examples of "{first}" and "{second}" for an entry, an engine and a service')
 def check_kinds(context: Context, first: str, second: str) -> None:
-    wanted: set[object] = {Role.ENTRY, TargetKind.ENGINE, TargetKind.SERVICE}
+    expected: set[object] = {Role.ENTRY, TargetKind.ENGINE, TargetKind.SERVICE}
     for site in (first, second):
-        kinds = {kind_of(good) for file, good in context.good.items() if file.parent.name == site}
-        assert kinds == wanted, (site, kinds)
+        kinds = {
+            kind_of(loaded) for file, loaded in context.loaded.items() if file.parent.name == site
+        }
+        assert kinds == expected, (site, kinds)
 
 
 @when("the bundles under docs/examples are read")
@@ -156,7 +158,7 @@
 
 
 def copy_docs(context: Context) -> Path:
-    """Copy the documents to a folder that goes with the scenario."""
+    """Copy the documents to a temporary folder that is removed after the scenario."""
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     context.copy = Path(folder.name)
@@ -178,7 +180,7 @@
 
 
 def settings_keys() -> list[str]:
-    """Return every settings key, read off a full instance."""
+    """Return every settings key of settings that hold all sections."""
     full = settings_from_text(json.dumps(full_settings()), file="full")
     keys: list[str] = []
     for name in full.__struct_fields__:
@@ -189,7 +191,7 @@
 
 
 def full_settings() -> dict[str, Any]:
-    """Return good settings that hold every section."""
+    """Return valid settings that hold every section."""
     return {
         "role": "target",
         "instance": dict(INSTANCE),
@@ -204,7 +206,7 @@
 
 
 def settings_with(key: str, example: object) -> dict[str, Any]:
-    """Return good settings in which one key has the example's value."""
+    """Return valid settings in which one key has the example's value."""
     settings = full_settings()
     section, _, name = key.rpartition(".")
     part = settings[section] if section else settings
@@ -213,7 +215,7 @@
 
 
 def kind_of(settings: Settings) -> object:
-    """Return the role, or what stands behind a target."""
+    """Return the entry role, or the kind of the target."""
     if settings.role is Role.ENTRY:
         return Role.ENTRY
     assert settings.target is not None
--- a/tools/behave_report.py
+++ b/tools/behave_report.py
@@ -5,10 +5,10 @@
 
 
 class ReportFormatter(JSONFormatter):
-    """Keep the error text also for steps that end in an error or in a failed hook."""
+    """Include the error text of steps that end in an error or a failed hook."""
 
     def result(self, step: Step) -> None:
-        """Record the step's result and whole error text."""
+        """Record the step's result and full error text."""
         index = self._step_index
         super().result(step)
         if step.error_message:
--- a/tools/feature_run.py
+++ b/tools/feature_run.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-FEATURE_LIMIT_S = 240
+FEATURE_TIMEOUT_S = 240
 WHOLE_FILE = "(whole file)"
 PASSED = "passed"
 SKIPPED = "skipped"
@@ -21,7 +21,7 @@
 REPORT_FORMAT = "behave_report:ReportFormatter"
 TOOLS = Path(__file__).resolve().parent
 
-# behave's exit code doesn't tell these from a failed scenario.
+# behave's exit code doesn't distinguish these from a failed scenario.
 RUN_LEVEL_ERROR = re.compile(
     r"^(?:HOOK-ERROR in \w+_(?:all|feature)\b|CLEANUP-ERROR in |ABORTED: )", re.MULTILINE
 )
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """Hold how one scenario, or a feature file as a whole, ended."""
+    """Represent the result of one scenario or of a whole feature file."""
 
     feature: str
     scenario: str
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class BehaveRun:
-    """Hold what one behave process left behind."""
+    """Hold the exit code, report and output of one behave process."""
 
     feature: str
     exit_code: int
@@ -51,22 +51,22 @@
 
 
 def run_feature(path: str, *, name: str | None) -> list[Outcome]:
-    """Run a feature file, bounded by FEATURE_LIMIT_S seconds, and return its outcomes."""
+    """Run a feature file for at most FEATURE_TIMEOUT_S seconds and return its outcomes."""
     with tempfile.TemporaryDirectory(prefix="scenarios-") as folder:
         run = _run_behave(path, name=name, folder=Path(folder))
     return read_outcomes(run, filtered=name is not None)
 
 
 def stop_running() -> None:
-    """End the behave processes that still run, with their children."""
+    """Kill the running behave processes and their children."""
     for process in list(_running):
-        _end(process)
+        _kill_group(process)
 
 
 def read_outcomes(run: BehaveRun, *, filtered: bool) -> list[Outcome]:
-    """Turn behave's report into outcomes; whatever isn't a plain pass is a failure."""
+    """Convert behave's report to outcomes; any status other than passed is a failure."""
     if run.timed_out:
-        return [_whole_file(run, f"ended after {FEATURE_LIMIT_S} s")]
+        return [_whole_file(run, f"ended after {FEATURE_TIMEOUT_S} s")]
     try:
         features: list[dict[str, Any]] = json.loads(run.report or "[]")
     except json.JSONDecodeError:
@@ -92,7 +92,7 @@
     if name is not None:
         command += ["--name", name]
     command.append(path)
-    # A file, not a pipe: a process that outlives its scenario must not keep us waiting.
+    # A file, not a pipe: a leftover child process would keep a pipe open and block the read.
     with output.open("wb") as sink:
         process = subprocess.Popen(
             command,
@@ -113,18 +113,18 @@
 
 
 def _environment() -> dict[str, str]:
-    """Let behave import REPORT_FORMAT from this folder."""
+    """Return the environment with this folder on PYTHONPATH, for REPORT_FORMAT."""
     search_path = [str(TOOLS), os.environ.get("PYTHONPATH", "")]
     return os.environ | {"PYTHONPATH": os.pathsep.join(filter(None, search_path))}
 
 
 def _wait(process: subprocess.Popen[bytes]) -> bool:
-    """Wait for the process; end it and its children at the limit and return True."""
+    """Wait for the process; return whether it timed out and was killed with its children."""
     _running.add(process)
     try:
-        process.wait(timeout=FEATURE_LIMIT_S)
+        process.wait(timeout=FEATURE_TIMEOUT_S)
     except subprocess.TimeoutExpired:
-        _end(process)
+        _kill_group(process)
         process.wait()
         return True
     finally:
@@ -132,7 +132,7 @@
     return False
 
 
-def _end(process: subprocess.Popen[bytes]) -> None:
+def _kill_group(process: subprocess.Popen[bytes]) -> None:
     with contextlib.suppress(ProcessLookupError):
         os.killpg(process.pid, signal.SIGKILL)
 
@@ -151,28 +151,28 @@
 
 def _failing_step(element: dict[str, Any], *, run: BehaveRun) -> str:
     """Describe the first step that ran without passing; empty if there is none."""
-    # behave reports no result for an undefined step, nor for one that it never reached.
+    # behave reports no result for an undefined or unreached step.
     without_result = UNDEFINED if element.get("status") == UNDEFINED else UNTESTED
     for step in element.get("steps", []):
         result = step.get("result", {})
         status = result.get("status", without_result)
         if status in (PASSED, SKIPPED, UNTESTED):
             continue
-        message = "" if status == UNDEFINED else _message(result, run)
+        message = "" if status == UNDEFINED else _error_text(result, run)
         return (
             f"{step['keyword']} {step['name']} ({status}, {step['location']})\n{message}".rstrip()
         )
     return ""
 
 
-def _message(result: dict[str, Any], run: BehaveRun) -> str:
-    """Return the step's error text, or all that behave printed where it has none."""
+def _error_text(result: dict[str, Any], run: BehaveRun) -> str:
+    """Return the step's error text, or behave's output if there is none."""
     message = result.get("error_message") or run.output
     return message if isinstance(message, str) else "\n".join(message)
 
 
 def _stepless_detail(element: dict[str, Any], *, run: BehaveRun) -> str:
-    """Say why a scenario without a failing step counts as failed."""
+    """Describe why a scenario without a failing step counts as failed."""
     if not element.get("steps"):
         return "the scenario has no steps: write some"
     return f"no step failed: scenario {element.get('status', 'without a status')}\n{run.output}"
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -1,4 +1,4 @@
-"""Read KNOWN-RED.txt and settle it against the outcomes of a run."""
+"""Read KNOWN-RED.txt, the list of known failures, and match it with the outcomes of a run."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -12,67 +12,67 @@
 
 FIELD_SEPARATOR = "|"
 FIELD_COUNT = 5
-COMMENT = "#"
+COMMENT_PREFIX = "#"
 
 
 class KnownRedError(Exception):
-    """Report a KNOWN-RED.txt that can't be used, and how to mend it."""
+    """Report an invalid line of KNOWN-RED.txt."""
 
 
-class Fails(Enum):
-    """Say how often a listed scenario fails."""
+class Frequency(Enum):
+    """Define how often a listed scenario fails."""
 
-    # It is mended when it passes, and its line has to go then.
+    # A pass means that it is fixed; its line must then be removed.
     ALWAYS = "always"
-    # A run that passes shows nothing.
+    # A pass doesn't show that it is fixed.
     SOMETIMES = "sometimes"
 
 
 @dataclass(slots=True, frozen=True)
 class KnownRed:
-    """Hold one line of KNOWN-RED.txt."""
+    """Represent one line of KNOWN-RED.txt."""
 
-    fails: Fails
+    frequency: Frequency
     feature: str
     scenario: str
-    # The command that plays it, with its seed if it has one.
+    # The command that reproduces the failure, with its seed if it has one.
     command: str
     seen: str
     issue: str
 
     def matches(self, outcome: Outcome) -> bool:
-        """Tell whether the outcome is of the listed scenario."""
+        """Return whether the outcome belongs to the listed scenario."""
         if outcome.scenario == WHOLE_FILE:
             return False
         return (self.feature, self.scenario) == (outcome.feature, outcome.scenario)
 
 
 @dataclass(slots=True)
-class Settlement:
-    """Hold which failures are excused, and which lines have to go."""
+class MatchResult:
+    """Hold the known failures of a run and the lines that must be removed."""
 
-    excused: dict[KnownRed, list[Outcome]] = field(default_factory=dict)
-    complaints: list[str] = field(default_factory=list)
+    known_failures: dict[KnownRed, list[Outcome]] = field(default_factory=dict)
+    stale_lines: list[str] = field(default_factory=list)
 
-    def excuses(self, outcome: Outcome) -> bool:
-        """Tell whether a line of the list covers this failure."""
-        return any(outcome in outcomes for outcomes in self.excused.values())
+    def is_known_failure(self, outcome: Outcome) -> bool:
+        """Return whether a line of the list covers this failure."""
+        return any(outcome in outcomes for outcomes in self.known_failures.values())
 
 
 def read_known_red(path: Path) -> list[KnownRed]:
-    """Read the list; a missing file is an empty list; raise KnownRedError on a bad line."""
+    """Return the listed failures, none if the file is missing; raise KnownRedError if invalid."""
     if not path.exists():
         return []
     lines = [line.strip() for line in path.read_text(encoding="utf-8").splitlines()]
-    lines = [line for line in lines if line and not line.startswith(COMMENT)]
+    lines = [line for line in lines if line and not line.startswith(COMMENT_PREFIX)]
     return [_parse_line(line, name=path.name) for line in lines]
 
 
-def settle(
+def match_known_red(
     known: Sequence[KnownRed], *, outcomes: Sequence[Outcome], complete: Iterable[str]
-) -> Settlement:
-    """Match the list with the outcomes; `complete` names the features that ran unfiltered."""
-    settlement = Settlement()
+) -> MatchResult:
+    """Match the list with the outcomes; `complete` holds the features that ran unfiltered."""
+    result = MatchResult()
     broken = {outcome.feature for outcome in outcomes if outcome.scenario == WHOLE_FILE}
     ran_whole = set(complete) - broken
     for entry in known:
@@ -80,14 +80,14 @@
         label = f"{entry.feature}:{entry.scenario}"
         searched = entry.feature in ran_whole or not Path(entry.feature).exists()
         if not found and searched:
-            settlement.complaints.append(f"{label} does not exist: remove its line")
+            result.stale_lines.append(f"{label} does not exist: remove its line")
             continue
         failed = [outcome for outcome in found if not outcome.passed]
-        if entry.fails is Fails.ALWAYS and len(failed) < len(found):
-            settlement.complaints.append(f"{label} passes: remove its line")
+        if entry.frequency is Frequency.ALWAYS and len(failed) < len(found):
+            result.stale_lines.append(f"{label} passes: remove its line")
         elif failed:
-            settlement.excused[entry] = failed
-    return settlement
+            result.known_failures[entry] = failed
+    return result
 
 
 def _parse_line(line: str, *, name: str) -> KnownRed:
@@ -102,8 +102,8 @@
     if not scenario.strip():
         raise KnownRedError(f"{name}: name the test as `feature file:scenario name`: {test}")
     try:
-        fails = Fails(often)
+        frequency = Frequency(often)
     except ValueError:
-        choices = " or ".join(each.value for each in Fails)
+        choices = " or ".join(each.value for each in Frequency)
         raise KnownRedError(f"{name}: begin the line with {choices}: {line}") from None
-    return KnownRed(fails, feature.strip(), scenario.strip(), command, seen, issue)
+    return KnownRed(frequency, feature.strip(), scenario.strip(), command, seen, issue)
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -1,4 +1,4 @@
-"""Write the reference pages that are made from the code: settings and result codes."""
+"""Generate the reference pages of settings and result codes from the code."""
 
 import argparse
 import json
@@ -23,7 +23,7 @@
 FOLDER = Path("docs/reference")
 SETTINGS_PAGE = "settings.md"
 CODES_PAGE = "result-codes.md"
-MADE_BY = "<!-- Made by tools/reference.py; change the code, then run `make reference`. -->"
+PAGE_NOTICE = "<!-- Made by tools/reference.py; change the code, then run `make reference`. -->"
 TOP_SECTION = "the whole file"
 
 SIMPLE_TYPES: dict[type, str] = {
@@ -33,28 +33,29 @@
     bool: "true or false",
 }
 SETTINGS_INTRO = """\
-A daemon is given one file: `mimosaspurd --settings FILE`. It is JSON with comments, read by
-`pyjson5`. An unknown key, a wrong type, a number below 0 or a missing section is refused with the
-key's name, what was expected and an example; `mimosaspur settings check FILE` tells the same
-without starting anything. Settings are read once, at the start. Times are in milliseconds,
+A daemon reads one settings file: `mimosaspurd --settings FILE`. It is JSON with comments, parsed by
+`pyjson5`. An unknown key, a wrong type, a number below 0 or a missing section is rejected with the
+key's name, the expected value and an example; `mimosaspur settings check FILE` reports the same
+without starting a daemon. Settings are read once, at startup. Times are in milliseconds,
 addresses are `ip:port` with an IP number. Whole files with comments are in
 [docs/examples](../examples)."""
 CODES_INTRO = """\
-Every error that a caller or an operator is told bears a number and a name. The first digit tells
-the kind: 1 a wrong request, 2 refused, 3 unknown or cut, 4 operators' steps. "Known of the run" is
-what the field `outcome` says. `not_run` is said only where it is proved: once an earlier try of the
-same request may have run, a refusal (2xxx) is told as `OUTCOME_UNKNOWN` instead."""
+Every error returned to a caller or an operator has a number and a name. The first digit is the
+kind: 1 invalid request, 2 refused, 3 unknown or interrupted, 4 operators' commands. "Known of the
+run" is the value of the field `outcome`. `not_run` is returned only where it is certain: once an
+earlier attempt of the same request may have run, a refusal (2xxx) is returned as `OUTCOME_UNKNOWN`
+instead."""
 
 
 class ExitCode(IntEnum):
-    """Name the exit codes of this tool."""
+    """Define the exit codes of this tool."""
 
     OK = 0
     STALE = 1
 
 
 class UndocumentedKeys(Exception):
-    """Name the keys that lack a meaning, or have one without being settings."""
+    """Report settings keys without documentation, or documented keys that don't exist."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -73,36 +74,36 @@
 NOTHING_CHANGED = "nothing was changed"
 NOT_RUN = "`not_run`"
 UNKNOWN = "`unknown`"
-KNOWN_OF_RUN: dict[ResultCode, str] = {
+RUN_OUTCOMES: dict[ResultCode, str] = {
     ResultCode.CLAIM_IN_PROGRESS: f"{UNKNOWN}: the request that holds the key may run or have run",
-    ResultCode.CANCELLED: f"{UNKNOWN}, or {NOT_RUN} if it still waited",
+    ResultCode.CANCELLED: f"{UNKNOWN}, or {NOT_RUN} if it was still waiting",
     ResultCode.ANSWER_NOT_KEPT: "`done`",
     ResultCode.OUTCOME_UNSETTLED: "unknown whether the change took effect",
 }
 
 
-def known_of_run(code: ResultCode) -> str:
-    """Return what is known of the run or change when this code is told."""
-    if code in KNOWN_OF_RUN:
-        return KNOWN_OF_RUN[code]
+def run_outcome(code: ResultCode) -> str:
+    """Return what this code says about whether the request ran or the change was made."""
+    if code in RUN_OUTCOMES:
+        return RUN_OUTCOMES[code]
     if code >= ResultCode.BAD_BUNDLE:
         return NOTHING_CHANGED
     return UNKNOWN if code >= ResultCode.OUTCOME_UNKNOWN else NOT_RUN
 
 
 def key_rows() -> list[KeyRow]:
-    """Return every settings key, section by section; raise UndocumentedKeys."""
+    """Return every settings key by section; raise UndocumentedKeys if KEY_DOCS doesn't match."""
     rows = list(_rows_of(Settings, ""))
     unmatched = {row.key for row in rows} ^ KEY_DOCS.keys()
     if unmatched:
-        raise UndocumentedKeys(f"Bring settingsdoc.py in line with: {sorted(unmatched)}.")
+        raise UndocumentedKeys(f"update KEY_DOCS for the unmatched keys: {sorted(unmatched)}")
     return rows
 
 
 def settings_page() -> str:
-    """Return the page of settings."""
+    """Render the page of settings."""
     rows = key_rows()
-    parts = ["# Settings", MADE_BY, SETTINGS_INTRO]
+    parts = ["# Settings", PAGE_NOTICE, SETTINGS_INTRO]
     for section in dict.fromkeys(row.section for row in rows):
         parts.append(f"## {f'`{section}`' if section else TOP_SECTION.capitalize()}")
         if section:
@@ -112,7 +113,7 @@
 
 
 def codes_page() -> str:
-    """Return the page of result codes."""
+    """Render the page of result codes."""
     head = ["code", "name", "HTTP", "meaning", "what to do", "known of the run"]
     body = [
         [
@@ -121,24 +122,24 @@
             str(info.http_status),
             info.meaning,
             info.next_step,
-            known_of_run(code),
+            run_outcome(code),
         ]
         for code, info in sorted(CODE_TABLE.items())
     ]
-    return "\n\n".join(["# Result codes", MADE_BY, CODES_INTRO, _table(head, body)]) + "\n"
+    return "\n\n".join(["# Result codes", PAGE_NOTICE, CODES_INTRO, _table(head, body)]) + "\n"
 
 
 PAGES = {SETTINGS_PAGE: settings_page, CODES_PAGE: codes_page}
 
 
 def main(arguments: Sequence[str] | None = None) -> ExitCode:
-    """Write the pages, or with --check say which of them are stale."""
+    """Write the pages, or with --check report which are stale."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--check", action="store_true", help="write nothing; fail if stale")
     options = parser.parse_args(arguments)
     if not options.check:
-        for name, make in PAGES.items():
-            (FOLDER / name).write_text(make(), encoding="utf-8")
+        for name, render in PAGES.items():
+            (FOLDER / name).write_text(render(), encoding="utf-8")
         return ExitCode.OK
     stale = stale_pages()
     for name in stale:
@@ -147,8 +148,8 @@
 
 
 def stale_pages() -> list[str]:
-    """Return the pages that differ from what the code gives."""
-    return [name for name, make in PAGES.items() if _read(FOLDER / name) != make()]
+    """Return the pages that differ from their generated text."""
+    return [name for name, render in PAGES.items() if _read(FOLDER / name) != render()]
 
 
 def _read(path: Path) -> str:
@@ -176,7 +177,7 @@
         default=_default(item),
         unit=doc.unit if doc else "",
         meaning=doc.meaning if doc else "",
-        example=EXAMPLES.get(key) or _json(_usual(item)),
+        example=EXAMPLES.get(key) or _json(_effective_default(item)),
     )
 
 
@@ -203,8 +204,8 @@
     return f"`{_json(item.default)}`"
 
 
-def _usual(item: msgspec.structs.FieldInfo) -> Any:
-    """Return the default, or what a section that is left out by default would hold."""
+def _effective_default(item: msgspec.structs.FieldInfo) -> Any:
+    """Return the default, or the section's own defaults if it is omitted by default."""
     section = _struct_in(item.type)
     return section() if section and item.default is None else item.default
 
--- a/tools/scenarios.py
+++ b/tools/scenarios.py
@@ -15,8 +15,8 @@
 from feature_run import stop_running
 from known_red import KnownRed
 from known_red import KnownRedError
+from known_red import match_known_red
 from known_red import read_known_red
-from known_red import settle
 
 DEFAULT_JOBS = 4
 FEATURES = Path("features")
@@ -25,7 +25,7 @@
 
 
 class ExitCode(IntEnum):
-    """Name the exit codes of this tool."""
+    """Define the exit codes of this tool."""
 
     OK = 0
     FAILURES = 1
@@ -33,7 +33,7 @@
 
 
 class UsageError(Exception):
-    """Report a call that can't be carried out, and what to do instead."""
+    """Report invalid arguments or a missing features folder."""
 
 
 def main(arguments: Sequence[str] | None = None) -> ExitCode:
@@ -51,7 +51,7 @@
 
 
 def parse_options(arguments: Sequence[str] | None) -> argparse.Namespace:
-    """Parse the command line; raise UsageError on a value that can't be used."""
+    """Parse the command line; raise UsageError on an invalid value."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("features", nargs="*", help="feature files; all of features/ by default")
     parser.add_argument("--jobs", type=int, default=DEFAULT_JOBS, help="files run at once")
@@ -65,7 +65,7 @@
 
 
 def find_features(chosen: Sequence[str]) -> list[str]:
-    """List the feature files to run; raise UsageError if one is missing or there are none."""
+    """Return the feature files to run; raise UsageError if one is missing or none exists."""
     if chosen:
         missing = [path for path in chosen if not Path(path).is_file()]
         if missing:
@@ -96,19 +96,19 @@
 def report(
     outcomes: Sequence[Outcome], *, known: Sequence[KnownRed], complete: Sequence[str]
 ) -> ExitCode:
-    """Print failures, known reds and the summary; return OK if every failure is known."""
-    settlement = settle(known, outcomes=outcomes, complete=complete)
+    """Print failures, known failures and the summary; return OK if every failure is known."""
+    result = match_known_red(known, outcomes=outcomes, complete=complete)
     failed = [outcome for outcome in outcomes if not outcome.passed]
-    unexcused = [outcome for outcome in failed if not settlement.excuses(outcome)]
-    for outcome in unexcused:
+    unexpected = [outcome for outcome in failed if not result.is_known_failure(outcome)]
+    for outcome in unexpected:
         print(f"FAILED {outcome.feature}:{outcome.scenario}")
         print(textwrap.indent(outcome.detail, INDENT))
-    for entry in settlement.excused:
+    for entry in result.known_failures:
         print(f"known red: {entry.feature}:{entry.scenario} | {entry.seen} | {entry.issue}")
-    for complaint in settlement.complaints:
-        print(f"{KNOWN_RED}: {complaint}")
+    for stale_line in result.stale_lines:
+        print(f"{KNOWN_RED}: {stale_line}")
     print(f"scenarios: {len(outcomes) - len(failed)} passed, {len(failed)} failed")
-    return ExitCode.FAILURES if unexcused or settlement.complaints else ExitCode.OK
+    return ExitCode.FAILURES if unexpected or result.stale_lines else ExitCode.OK
 
 
 def _check_regex(pattern: str) -> None:
