--- a/tools/reference.py
+++ b/tools/reference.py
@@ -41,7 +41,7 @@
 [docs/examples](../examples)."""
 CODES_INTRO = """\
 Every error returned to a caller or an operator has a number and a name. The first digit is the
-kind: 1 invalid request, 2 refused, 3 unknown or interrupted, 4 operators' commands. "Known of the
+kind: 1 invalid request, 2 refused, 3 unknown or interrupted, 4 operators' actions. "Known of the
 run" is the value of the field `outcome`. `not_run` is returned only where it is certain: once an
 earlier attempt of the same request may have run, a refusal (2xxx) is returned as `OUTCOME_UNKNOWN`
 instead."""
